--- a/internal/node/protocol/admin_test.go
+++ b/internal/node/protocol/admin_test.go
@@ -12,7 +12,7 @@
 	"ospreybend/internal/testkit/scriptedpeer"
 )
 
-// withAdmin opens the operators' address of a fixture. record may be nil.
+// withAdmin starts an admin server on the fixture. store is its RecordOverride and may be nil.
 func (fx *fixture) withAdmin(t *testing.T, store func(string, bool, func(override.Overrides, error))) (a *Admin) {
 	t.Helper()
 	address := scriptedpeer.FreeAddress(t)
@@ -21,19 +21,19 @@
 		a = NewAdmin(AdminConfig{Listen: address, MaxSockets: 12, MaxBufferedBytes: 64 << 10, Classes: []string{"pruefen", "buchen"},
 			Ready: fx.core.AnyReady, RecordOverride: store}, fx.Loop, fx.core, fx.discovery, fx.destinations, fx.discovery.config.Overrides)
 		if err := a.Start(); err != nil {
-			t.Error(err)
+			t.Errorf("start the admin server on %s: %v", address, err)
 		}
 	})
 	fx.Serve("admin", address)
 	return a
 }
 
-// call makes one call, and looks for a text in the answer.
+// call makes one call and checks that the answer contains a text.
 func (fx *fixture) call(t *testing.T, line, want string) {
 	t.Helper()
 	fx.Play(lines("o dial admin", "o send "+line+` HTTP/1.1\r\nHost: x\r\n\r\n`, "o closed"))
 	if got := fx.Unread("o"); !strings.Contains(got, want) {
-		t.Errorf("%s: %q, want %s", line, got, want)
+		t.Errorf("%s: got answer %q, want it to contain %q", line, got, want)
 	}
 }
 
@@ -44,8 +44,8 @@
 	}
 }
 
-// All calls and their errors. Any number of callers that send nothing, or an incomplete
-// call, delay nobody.
+// Covers all calls and their errors. Callers that send nothing or an incomplete call, however
+// many, do not delay others.
 func TestAdmin_calls(t *testing.T) {
 	fx := newFixture(t, nil)
 	a := fx.withAdmin(t, nil)
@@ -67,16 +67,16 @@
 	}
 }
 
-// The fleet's calls exist only where the node belongs to one.
+// The calls for the fleet exist only if the node belongs to a fleet.
 func TestAdmin_fleetCalls(t *testing.T) {
 	fx := newFixture(t, nil)
 	a := fx.withAdmin(t, nil)
 	fx.call(t, "GET /-/fleet", " 404 ")
 	fx.Loop.Call(func() {
 		a.config.FleetStatus = func() []byte { return []byte("epoch 7\n") }
-		a.config.ZoneCommand = func(zone, do, reason string, span time.Duration, done func(error)) {
-			if zone != "b 1" || do != "leave" || reason != "works" || span != 30*time.Minute && span != defaultZoneCommandTime {
-				done(errors.New("said " + zone + do + reason))
+		a.config.ZoneCommand = func(zone, command, reason string, duration time.Duration, done func(error)) {
+			if zone != "b 1" || command != "leave" || reason != "works" || duration != 30*time.Minute && duration != defaultZoneCommandTime {
+				done(fmt.Errorf("unexpected zone command: zone %q, command %q, reason %q, duration %v", zone, command, reason, duration))
 				return
 			}
 			done(nil)
@@ -90,8 +90,8 @@
 	}
 }
 
-// The metrics count what clients and prep workers have seen: a request in progress, served,
-// rejected by a prep worker, abandoned by its client.
+// The metrics agree with what clients and prep workers have seen of a request in progress, one
+// served, one rejected by a prep worker and one abandoned by its client.
 func TestAdmin_Metrics(t *testing.T) {
 	fx := newFixture(t, nil)
 	fx.withAdmin(t, nil)
@@ -119,8 +119,8 @@
 	fx.checkTotals(t)
 }
 
-// A disabled prep worker gets nothing new, whatever the list says. Once enabled, its start is
-// the time of the call, and earlier connections are not used again.
+// A disabled prep worker gets no new requests, whatever state the list gives it. When it is
+// enabled, its start time is that of the call, and earlier connections are not used again.
 func TestAdmin_overrideDisableAndEnable(t *testing.T) {
 	fx := newFixture(t, nil)
 	fx.withAdmin(t, nil)
@@ -139,7 +139,7 @@
 		list := EndpointList{Version: uint64(8 + i), Entries: []Endpoint{{Name: "s-1", Address: fx.destinations.byID[workerIDOf("s-2")].address, State: state, Weight: 1}}}
 		fx.Loop.Call(func() { fx.discovery.publish(balance.ListKind(i/3), list) }) // the last is a snapshot
 		if ready() {
-			t.Errorf("listed %s: ready though disabled by an override", state)
+			t.Errorf("s-1 listed as %s while an override disables it: got ready, want not ready", state)
 		}
 		if i == 2 {
 			fx.Play(`
@@ -155,26 +155,26 @@
 	var now time.Duration
 	fx.Loop.Call(func() { listing, now = fx.discovery.effective(s1, fx.discovery.listed[s1]), fx.Loop.Now() })
 	if !ready() || now-listing.Started > time.Second {
-		t.Errorf("called back: ready %v, counts as started %v ago", ready(), now-listing.Started)
+		t.Errorf("s-1 after enabling: ready %v, started %v ago, want ready and started at most 1s ago", ready(), now-listing.Started)
 	}
 	fx.Play("s send {stream}{done}\nc expect fine\ns closed\nc send {ask}\nr accept workers\nr expect hi")
-	// Beside a process that uses the slow-start allowance this one sends them nothing.
+	// While another process uses its slow-start allowance, this one sends it nothing.
 	fx.Loop.Call(func() { fx.discovery.config.WarmupTime = time.Minute; fx.discovery.ExcludeWarmingUp() })
 	if ready() {
-		t.Error("a worker that warms up is ready beside the process that uses its allowance")
+		t.Error("s-1, warming up while another process uses its slow-start allowance: got ready, want not ready")
 	}
 }
 
-// An override that cannot be stored is answered with an error within a second. Disabling
-// takes effect all the same; enabling does not.
+// An override that cannot be stored is answered with an error within a second. Disabling takes
+// effect nevertheless; enabling does not.
 func TestAdmin_overrideNotStored(t *testing.T) {
-	for _, storeFails := range []bool{true, false} { // or it hangs
+	for _, storeFails := range []bool{true, false} { // false: storing does not end
 		fx := newFixture(t, nil)
-		storeCalls := 0 // on the loop
+		storeCalls := 0 // accessed on the loop
 		a := fx.withAdmin(t, func(_ string, _ bool, done func(override.Overrides, error)) {
 			storeCalls++
 			if storeFails {
-				done(nil, errors.New("no room left"))
+				done(nil, errors.New("no space left on device"))
 			}
 		})
 		for i, verb := range []string{"disable", "enable"} {
@@ -184,7 +184,7 @@
 		}
 		fx.Loop.Call(func() {
 			if !a.overrides.Out("s-1") {
-				t.Error("it is enabled, though the caller got an error")
+				t.Error("s-1 after its enabling was answered with an error: got enabled, want disabled")
 			}
 		})
 	}
--- a/internal/node/protocol/compatibility_test.go
+++ b/internal/node/protocol/compatibility_test.go
@@ -11,7 +11,7 @@
 	"ospreybend/internal/testkit/golden"
 )
 
-// compatibilityHandover has every field set, and two sockets.
+// compatibilityHandover returns a hand-over with every field set and two sockets.
 func compatibilityHandover() *Handover {
 	return &Handover{
 		Rest: []byte("GET"), Asked: true, Began: time.Second, Since: 2 * time.Second, Size: 77,
@@ -39,8 +39,8 @@
 	}
 }
 
-// handoverRow is a row of a hand-over. The bytes begin with the names of the types, which a reader ignores, so the
-// meaning is compared.
+// handoverRow returns the golden row of a hand-over. It compares decoded values, since the bytes begin with the names of
+// the types, which a decoder ignores.
 func handoverRow(name string, handover *Handover) golden.Row {
 	return golden.Row{
 		Name: name, Value: handover, SameMeaning: true, Encode: handover.Encode,
@@ -48,7 +48,7 @@
 	}
 }
 
-// compatibilityRows are both kinds of hand-over that a process sends to the next.
+// compatibilityRows returns a row for each kind of hand-over that a process sends to the next.
 func compatibilityRows() []golden.Row {
 	return []golden.Row{
 		handoverRow("connection", compatibilityHandover()),
@@ -58,7 +58,7 @@
 
 func TestHandover_asVersion8782861(t *testing.T) { golden.Check(t, compatibilityRows()) }
 
-// memberNames returns the names of the members that an encoded hand-over lists ahead of its values.
+// fieldNames returns the field names that an encoded hand-over lists ahead of its values.
 func fieldNames() [][]byte {
 	var names [][]byte
 	for _, value := range []any{
@@ -74,12 +74,12 @@
 	return names
 }
 
-// An earlier process drops members that it does not know by name, so none may be added or have another name.
+// A process of an earlier version drops fields whose names it does not know, so no field may be added or renamed.
 func TestHandover_hasTheFieldNamesOfVersion8782861(t *testing.T) {
 	encoded := golden.Read(t, "connection")
 	for _, name := range fieldNames() {
 		if !bytes.Contains(encoded, name) {
-			t.Errorf("member %s is not in the fixture", name)
+			t.Errorf("the encoding of version 8782861 does not have the field name %s", name)
 		}
 	}
 }
--- a/internal/node/protocol/connection_end_test.go
+++ b/internal/node/protocol/connection_end_test.go
@@ -16,11 +16,11 @@
 	"ospreybend/internal/testkit/scriptedpeer"
 )
 
-// Races at the end of a connection or a request, forced: both sides act while the loop is blocked
-// in a callback, so that the node has read nothing of it when the loop continues.
-// docs/design/endings.md has the table of these races.
+// These tests force races at the end of a connection or a request: both sides act while the loop
+// is blocked in a callback, so that the node has read nothing of that when the loop continues.
+// docs/design/endings.md has a table of these races.
 
-// whileLoopIsBusy plays a scenario while the loop is blocked, and then calls then on the loop.
+// whileLoopIsBusy plays a scenario while the loop is blocked, and then calls afterwards on the loop, unless it is nil.
 func (fx *fixture) whileLoopIsBusy(scenario string, afterwards func()) {
 	fx.Loop.Call(func() {
 		fx.Play(scenario)
@@ -30,18 +30,19 @@
 	})
 }
 
+// stepsSent returns the number of route steps that the core has sent.
 func (fx *fixture) stepsSent() (n uint64) {
 	fx.Loop.Call(func() { n = fx.core.Counts().Steps })
 	return n
 }
 
-// sockets returns the clients' connections, on the loop.
+// clientConns returns the clients' connections. It must be called on the loop.
 func (fx *fixture) clientConns() (all []*clientConn) {
 	fx.front.sockets.All(func(_ slottable.Handle, client *clientConn) { all = append(all, client) })
 	return all
 }
 
-// leaveOneWorker removes all prep workers but one, so that the next request uses its idle connection.
+// leaveOneWorker removes prep worker s-2, so that the next request uses the idle connection to s-1.
 func (fx *fixture) leaveOneWorker() {
 	fx.Loop.Call(func() {
 		fx.core.PoolChanged(balance.ListUpdate{Kind: balance.ListChanges,
@@ -49,12 +50,13 @@
 	})
 }
 
+// waitForGone waits until n operations have ended because their clients disconnected.
 func (fx *fixture) waitForGone(n uint64) {
 	fx.WaitUntil(func() bool { return fx.core.Counts().Gone == n })
 }
 
 // A client sends its request and disconnects before the busy loop has read a byte of it: no
-// attempt is made for it, whichever way it disconnected.
+// attempt is made, however the client disconnected.
 func TestFront_clientGoneBeforeItIsRead(t *testing.T) {
 	for _, disconnect := range []string{"leaves", "close", "resets"} {
 		t.Run(disconnect, func(t *testing.T) {
@@ -63,14 +65,14 @@
 			fx.whileLoopIsBusy("c send {ask}\nc arrives\nc "+disconnect, nil)
 			fx.waitForGone(1)
 			if n := fx.stepsSent(); n != 0 {
-				t.Errorf("%d attempts for a client that had gone", n)
+				t.Errorf("client disconnected before its request was read: got %d attempts, want 0", n)
 			}
 			fx.checkTotals(t)
 		})
 	}
 }
 
-// Nor is the second of two pipelined requests started if the client has disconnected after them.
+// A client sends two pipelined requests and disconnects: the second request is not started.
 func TestFront_clientGoneBehindTwoRequests(t *testing.T) {
 	fx := newFixture(t, nil)
 	fx.Play("c dial front\nc send {ask}\ns accept workers\ns expect hi\nc send {book}\nc arrives")
@@ -79,28 +81,28 @@
 		return fx.core.OpenOperations() == 0 && len(fx.front.calls) == 0 && fx.front.sockets.Len() == 0
 	})
 	if n := fx.stepsSent(); n != 1 {
-		t.Errorf("%d attempts, of which one was for a client that was there", n)
+		t.Errorf("client disconnected after two pipelined requests: got %d attempts, want 1, for the first request", n)
 	}
 	fx.checkTotals(t)
 }
 
-// An attempt ends as never run, and the client disconnects right after: there is no retry.
+// An attempt ends without having run, and the client disconnects right after that: there is no retry.
 func TestFront_clientGoneBeforeTheNextAttempt(t *testing.T) {
 	fx := newFixture(t, nil)
 	fx.Play("c dial front\nc send {book}\ns accept workers\ns expect Req-Id: b1")
 	fx.whileLoopIsBusy(`s send HTTP/1.1 503 X\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n`+"\ns arrives\nc leaves", nil)
 	fx.waitForGone(1)
 	if n := fx.stepsSent(); n != 1 {
-		t.Errorf("%d attempts", n)
+		t.Errorf("client disconnected after the first attempt: got %d attempts, want 1", n)
 	}
 	fx.checkTotals(t)
 }
 
-// A client disconnects while the connection for its attempt is opened. Not a byte is written, even
-// where the settings allow no cancellation, or where the loop has not read the disconnect.
+// A client disconnects while the connection for its attempt is being opened. Not a byte is written,
+// even if the settings allow no cancellation or the loop has not read the disconnect yet.
 func TestFront_clientGoneWhileConnecting(t *testing.T) {
 	for name, disconnect := range map[string]func(*fixture, *Call){
-		"told":   func(_ *fixture, c *Call) { c.client.close() },
+		"closed": func(_ *fixture, c *Call) { c.client.close() },
 		"unread": func(fx *fixture, _ *Call) { fx.Play("c leaves") },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -110,24 +112,24 @@
 				client := fx.clientConns()[0]
 				m, _, fault := ParseRequest([]byte("POST /buchen HTTP/1.1\r\nReq-Id: b1\r\nReq-Deadline: 3\r\n\r\n"))
 				if fault != nil {
-					t.Error(fault)
+					t.Errorf("parse a valid request: %v", fault)
 					return
 				}
-				client.serve(m) // dials, and the dial ends in a later turn
+				client.serve(m) // dials; the dial ends in a later iteration of the loop
 				disconnect(fx, client.call)
 			})
 			fx.Play("s accept workers")
 			fx.WaitUntil(func() bool { return fx.core.Counts().Outcomes[balance.ConnectFailed] > 0 })
 			if n := fx.outcomes(); n[balance.Reset]+n[balance.Served]+n[balance.TimedOut] != 0 {
-				t.Errorf("outcomes %v", n)
+				t.Errorf("client disconnected while connecting: got outcomes %v, want no Reset, Served or TimedOut", n)
 			}
 			fx.checkTotals(t)
 		})
 	}
 }
 
-// A prep worker closes an idle connection just as a booking is to be sent on it: a new one is
-// used. Nothing has run, and the client does not notice.
+// A prep worker closes an idle connection just before a booking would be sent on it: a new
+// connection is used, and the client is served.
 func TestDestinations_idleConnectionEndsAtTheSend(t *testing.T) {
 	fx := newFixture(t, nil)
 	fx.leaveOneWorker()
@@ -135,13 +137,13 @@
 	fx.whileLoopIsBusy("c send {book}\nc arrives\ns leaves", nil)
 	fx.Play("r accept workers\nr expect Req-Id: b1\nr send {stream}{booked}\nc expect HTTP/1.1 200")
 	if n := fx.outcomes(); n[balance.Reset] != 0 {
-		t.Errorf("outcomes %v", n)
+		t.Errorf("idle connection closed at the send: got outcomes %v, want no Reset", n)
 	}
 	fx.checkTotals(t)
 }
 
-// A second response arrives after the final line, before the connection's next request is written
-// or after: no client gets it.
+// A second response arrives after the final line, before or after the next request is written on
+// the connection: no client gets it.
 func TestDestinations_secondResponse(t *testing.T) {
 	fx := newFixture(t, nil)
 	fx.leaveOneWorker()
@@ -150,13 +152,13 @@
 	fx.Play("r accept workers\nr expect Req-Id: b1\nr send {stream}{booked}\nc expect HTTP/1.1 200\nwait 1s")
 	fx.Play("c send {book}\nr expect Req-Id: b1\nr send {stream}{done}\nc expect HTTP/1.1 502")
 	if n := fx.outcomes(); n[balance.Served] != 2 || n[balance.Reset] != 1 {
-		t.Errorf("outcomes %v", n)
+		t.Errorf("second response on a connection: got outcomes %v, want 2 Served and 1 Reset", n)
 	}
 	fx.checkTotals(t)
 }
 
-// A second response may be some milliseconds late and say that the request never ran: a
-// non-idempotent request does not use a connection that has only just become idle.
+// A stray second response may arrive some milliseconds late and say that a request never ran. For
+// this reason a non-idempotent request does not use a connection that has only just become idle.
 func TestDestinations_nonIdempotentAvoidsJustIdleConnections(t *testing.T) {
 	fx := newFixture(t, nil)
 	fx.leaveOneWorker()
@@ -166,8 +168,8 @@
 	fx.checkTotals(t)
 }
 
-// Prep workers drop repeats of a request for a second. The connection for a repeat is open only
-// after that second: not a byte is written, as they would run the request once more.
+// Prep workers drop repeats of a request for one second. If the connection for a retry is open only
+// after that time, not a byte is written, since the request could run a second time.
 func TestFront_retryConnectsLate(t *testing.T) {
 	for delay, want := range map[time.Duration]balance.Outcome{0: balance.Served, 980 * time.Millisecond: balance.ConnectFailed} {
 		fx := newFixture(t, func(s *balance.Settings, _ *FrontConfig) {
@@ -175,7 +177,7 @@
 		})
 		fx.Play("c dial front\nc send {book}\ns accept workers\ns expect Req-Id: b1")
 		fx.Loop.Call(func() {
-			for _, step := range slices.Collect(maps.Keys(fx.destinations.exchanges)) { // the first attempt may have run
+			for _, step := range slices.Collect(maps.Keys(fx.destinations.exchanges)) { // the first attempt ends and may have run
 				fx.core.StepEnded(step, routing.StepEnd{Outcome: balance.Reset})
 			}
 			fx.JumpClock(delay)
@@ -187,13 +189,13 @@
 			fx.Play("c expect HTTP/1.1 503")
 		}
 		if n := fx.outcomes(); n[want] != 1 || n[balance.Served]+n[balance.ConnectFailed] != 1 {
-			t.Errorf("%v late: outcomes %v", delay, n)
+			t.Errorf("retry connects %v late: got outcomes %v, want one of outcome %d and no other of Served and ConnectFailed", delay, n, want)
 		}
 		fx.checkTotals(t)
 	}
 }
 
-// The connection for an attempt is open late. The deadline sent to the prep worker is the time left by then.
+// The connection for an attempt takes long to open. The deadline sent to the prep worker is the time remaining then.
 func TestDestinations_remainingTimeAfterSlowConnect(t *testing.T) {
 	for delay, want := range map[time.Duration]string{0: "3.000", 200 * time.Millisecond: "2.800", 2500 * time.Millisecond: "0.500"} {
 		fx := newFixture(t, nil)
@@ -202,7 +204,7 @@
 			client := fx.clientConns()[0]
 			m, _, fault := ParseRequest([]byte("POST /pruefen HTTP/1.1\r\nReq-Id: a1\r\nReq-Deadline: 3\r\n\r\n"))
 			if fault != nil {
-				t.Error(fault)
+				t.Errorf("parse a valid request: %v", fault)
 				return
 			}
 			client.serve(m) // dials
@@ -212,8 +214,8 @@
 	}
 }
 
-// The node begins to shut down just as a request arrives on an idle connection: it is answered, as
-// the last on it, and not cut off unread.
+// The node begins to shut down just as a request arrives on an idle connection: the request is
+// answered, as the last on its connection, instead of being lost unread.
 func TestServer_Stop_requestArrives(t *testing.T) {
 	fx := newFixture(t, nil)
 	fx.Play("c dial front\nc send GET /healthz HTTP/1.1\\r\\n\\r\\n\nc expect HTTP/1.1 200")
@@ -226,16 +228,16 @@
 // not reset.
 func TestServer_Stop_clientInTheBacklog(t *testing.T) {
 	fx := newFixture(t, nil)
-	// The first is being passed to the blocked loop; the second waits behind it.
-	// The third sends nothing: the node does not wait for it as long as for an ordinary client.
+	// Connection a is being passed to the blocked loop, and c waits behind it. Connection mute sends
+	// nothing: the node does not wait for it as long as for an ordinary client.
 	fx.whileLoopIsBusy("a dial front\na send GET /healthz HTTP/1.1\\r\\n\\r\\n\nc dial front\nc send {ask}\nc arrives\nmute dial front", func() { fx.front.Stop(0, func() {}) })
 	fx.WaitUntil(func() bool { return fx.front.listenerEnded })
 	fx.Play("wait 30ms\nmute ended\na expect HTTP/1.1 200\ns accept workers\ns expect hi\ns send {stream}{done}\nc expect Connection: close\nc expect fine\nc ended")
 	fx.checkTotals(t)
 }
 
-// A request that is read after the node has closed its side is not forwarded, and the client
-// does not lose earlier answers to a reset. The node has not drained before the client closes.
+// A request that arrives after the node has closed its side is not forwarded, and the client does
+// not lose earlier answers by a reset. The server has not drained before the client closes.
 func TestServer_Stop_requestAfterwards(t *testing.T) {
 	fx := newFixture(t, nil)
 	fx.Play("c dial front\nc send GET /healthz HTTP/1.1\\r\\n\\r\\n")
@@ -248,18 +250,18 @@
 	fx.Play("c send {ask}\nc arrives\nc expect HTTP/1.1 200\nc ended")
 	fx.Loop.Call(func() {
 		if drained {
-			t.Error("drained while a client has not ended its side")
+			t.Error("drained was called before the client had closed its side")
 		}
 	})
 	if n := fx.stepsSent(); n != 0 {
-		t.Errorf("%d attempts for what came after the end", n)
+		t.Errorf("request sent after the node closed its side: got %d attempts, want 0", n)
 	}
 	fx.Play("c close")
 	fx.WaitUntil(func() bool { return drained })
 	fx.checkTotals(t)
 }
 
-// A connection on which nothing was received in time is closed, unless its request arrives just then.
+// A connection on which nothing was received before the time-out is closed, unless its request arrives just then.
 func TestServer_requestArrivesAtItsTimeout(t *testing.T) {
 	fx := newFixture(t, nil)
 	fx.Play("c dial front")
@@ -274,7 +276,7 @@
 	fx.checkTotals(t)
 }
 
-// Malformed responses of a prep worker are all counted and logged at a bounded rate.
+// Malformed responses of a prep worker are all counted, and logged at a limited rate.
 func TestDestinations_unreadableResponsesAreLoggedSparsely(t *testing.T) {
 	var log bytes.Buffer
 	old := slog.Default()
@@ -289,23 +291,23 @@
 	fx.Play("wait 10s\nc send {book}\ns accept workers\ns expect Req-Id: b1\ns send nonsense\\r\\n\\r\\n\nc expect HTTP/1.1 502")
 	fx.Loop.Call(func() {
 		if logLines := strings.Count(log.String(), "unreadable response"); logLines != 2 || !strings.Contains(log.String(), "in_all=4") {
-			t.Errorf("%d lines: %s", logLines, log.String())
+			t.Errorf("4 unreadable responses: got %d log lines, want 2, the last with in_all=4; log: %s", logLines, log.String())
 		}
 	})
 }
 
-// A client sends request after request and reads no answer: the node buffers no more than one
-// answer may have, and closes the connection.
+// A client sends request after request and reads no answer: the node buffers a limited number of
+// bytes of answers and closes the connection.
 func TestServer_clientNeverReadsAnswers(t *testing.T) {
 	fx := newFixture(t, nil)
 	conn, err := net.Dial("tcp", fx.front.config.Listen)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("dial the front: %v", err)
 	}
 	defer conn.Close()
 	requests := bytes.Repeat([]byte("GET /healthz HTTP/1.1\r\n\r\n"), 40<<10)
 	go func() {
-		for range 64 { // more than the socket buffers of both sides take
+		for range 64 { // more than the socket buffers of both sides hold
 			if _, err := conn.Write(requests); err != nil {
 				return
 			}
@@ -319,18 +321,18 @@
 		return buffered > 2*maxUnreadReplyBytes || fx.front.Counts().Shed == 1 && fx.front.sockets.Len() == 0
 	})
 	if buffered > 2*maxUnreadReplyBytes {
-		t.Errorf("%d bytes of answers are kept", buffered)
+		t.Errorf("client that reads no answers: got %d unsent bytes, want at most %d", buffered, 2*maxUnreadReplyBytes)
 	}
 }
 
 // At the limit of connections an idle one is closed for the next client, but not one whose
-// request has been received and not read.
+// request has been received but not read.
 func TestServer_keepsConnectionWithUnreadRequest(t *testing.T) {
 	fx := newFixture(t, func(_ *balance.Settings, f *FrontConfig) { f.MaxSockets = spareSockets + 1 })
 	fx.Play("c dial front\nc send GET /healthz HTTP/1.1\\r\\n\\r\\n\nc expect HTTP/1.1 200\nwait 1s")
 	fx.whileLoopIsBusy("c send {ask}\nc arrives", func() {
 		if fx.front.shedOne() {
-			t.Error("the one connection has a request")
+			t.Error("shedOne closed a connection whose request was received but not read")
 		}
 	})
 	fx.Play("s accept workers\ns expect hi\ns send {stream}{done}\nc expect fine")
@@ -339,8 +341,8 @@
 
 var _ routing.Waiter = (*Front)(nil)
 
-// A prep worker hangs in the middle of its response, or breaks the connection long after its start. A booking fails, at its
-// deadline or at once, and is not retried; an idempotent request is, and its client is served by the retry.
+// A prep worker stalls in the middle of its response, or resets the connection long after the response began. A booking
+// fails, at its deadline or with the reset, and is not retried. An idempotent request is retried, and its client is served.
 func TestDestinations_connectionBreaksMidResponse(t *testing.T) {
 	halfResponse := scriptedpeer.Chunk(`{"id":"b1","state":"started"}`) + `40\r\n{"id":"b1","state":"do`
 	fx := newFixture(t, nil)
@@ -350,7 +352,7 @@
 	fx.Play(lines("c send {book}", "r accept workers", "r expect Req-Id: b1", "r send {stream}{half}",
 		"wait 2500ms", "r resets", "c expect HTTP/1.1 502"))
 	if n := fx.stepsSent(); n != 2 {
-		t.Errorf("%d attempts at two bookings", n)
+		t.Errorf("two bookings whose connections broke: got %d attempts, want 2", n)
 	}
 	fx.Variables["half"] = strings.ReplaceAll(halfResponse, "b1", "a1")
 	fx.Play(lines("c send {ask}", "s accept workers", "s expect hi", "s send {stream}{half}",
--- a/internal/node/protocol/discovery_queue_test.go
+++ b/internal/node/protocol/discovery_queue_test.go
@@ -17,28 +17,30 @@
 	"ospreybend/internal/testkit/scriptedpeer"
 )
 
-// serialService is a pool config for many nodes, on the test's clock: it answers calls without a hold time one after the
-// other, and rejects at once those that would wait too long. The end of a hold time costs nothing.
+// serialService is a pool config for many nodes that runs on the test's clock. It answers calls without a hold time one
+// after the other and immediately rejects those that would wait too long. Answers at the end of a hold time take no time.
 type serialService struct {
-	callTime, maxWait time.Duration
+	callTime, maxWait time.Duration // per call; until a call's answer
 	version           int
-	pendingChange     bool // to be sent on the watches, once
-	silent            bool // nothing comes on the watches any more
+	pendingChange     bool // all watches are answered, once
+	silent            bool // watches are not answered any more
 
-	mu                     sync.Mutex
-	callCount, closedCount int // calls, connections
+	mu                     sync.Mutex // guards the fields below
+	callCount, closedCount int        // calls received, connections closed by nodes
 	arrived, waiting       []*queuedCall
 	watches                []*queuedCall
 	closedConns            map[net.Conn]bool
-	busyUntil              time.Duration // when the turns given so far are over
+	busyUntil              time.Duration // when all queued calls are answered
 }
 
+// queuedCall is a call that is not answered yet.
 type queuedCall struct {
 	conn     net.Conn
 	hold     time.Duration
-	answerAt time.Duration // when it is answered; 0: not given yet
+	answerAt time.Duration // when it is due to be answered; 0: not determined yet
 }
 
+// serve accepts connections and queues the calls received on them.
 func (s *serialService) serve(l net.Listener) {
 	for {
 		conn, err := l.Accept()
@@ -66,7 +68,7 @@
 	}
 }
 
-// run answers and rejects the calls that are due now, and returns their number.
+// answerDue answers or rejects the calls that are due, and returns their number.
 func (s *serialService) answerDue(now time.Duration) (answered int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -99,7 +101,7 @@
 		c := s.waiting[0]
 		s.waiting = s.waiting[1:]
 		if s.closedConns[c.conn] {
-			continue // its turn was for nothing
+			continue // the service has spent the call's time for nothing
 		}
 		s.answer(c)
 		answered++
@@ -107,15 +109,16 @@
 	return answered
 }
 
+// answer sends a list of the present version without changes.
 func (s *serialService) answer(c *queuedCall) {
 	list := fmt.Sprintf(`{"index":%d,"snapshot":false,"endpoints":[]}`, s.version)
 	fmt.Fprintf(c.conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(list), list)
 }
 
-// Many nodes start together, and the pool config answers few calls a second: its list is known to all within the 6 s after
-// which it counts as known, as far as it can answer so many by then. Then a change ends all watches at once, so that they
-// are reopened together, and all fall silent. They do not end together: the service has calls to answer as early as half
-// of the longest hold time later.
+// Many nodes start together, and the pool config answers few calls per second: all nodes have its list within the 6 s
+// after which it counts as known, provided that it can answer so many calls by then. Then a change ends all watches, which
+// are reopened together, and the service stops answering them. The watches do not end together, owing to the jitter of
+// their hold times: the service gets calls to answer as early as half of the longest hold time later.
 func TestDiscovery_manyClientsAtASerialService(t *testing.T) {
 	const nodes, knownAfter = 16, 6 * time.Second
 	for seed := range uint64(5) {
@@ -123,7 +126,7 @@
 		service := &serialService{callTime: 200 * time.Millisecond, maxWait: 2 * time.Second, version: 8, closedConns: map[net.Conn]bool{}}
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("listen for the service: %v", err)
 		}
 		t.Cleanup(func() { l.Close() })
 		go service.serve(l)
@@ -137,7 +140,7 @@
 					Limits: balance.Limits{MaxAttempts: 1}, Rules: balance.Rules{InitialCapacity: 1, SubscribeWithin: 10 * time.Second}},
 					seed*nodes+uint64(i), bench.Loop, &bench.Loop.Timers)
 				if err != nil {
-					t.Error(err)
+					t.Errorf("create the core of node %d: %v", i, err)
 					return
 				}
 				destinations := NewDestinations(DestinationConfig{}, bench.Loop, core)
@@ -153,7 +156,7 @@
 		advance := func() {
 			bench.Advance(10 * time.Millisecond)
 			var sum CallCounts
-			caughtUp := func() bool { // what either side has done the other has seen
+			caughtUp := func() bool { // both sides have processed all that the other has sent
 				sum, upToDate = CallCounts{}, 0
 				for _, d := range discoveries {
 					sum.Sent += d.counts.Sent
@@ -173,19 +176,19 @@
 			answered += service.answerDue(now())
 			bench.WaitUntil(caughtUp)
 		}
-		expectAllUpToDate := func(what string, within time.Duration) {
+		expectAllUpToDate := func(phase string, within time.Duration) {
 			for upToDate < nodes {
 				if elapsed := now() - startedAt; elapsed > within {
-					t.Fatalf("seed %d, %s: after %v %d of %d nodes know", seed, what, elapsed, upToDate, nodes)
+					t.Fatalf("seed %d, %s: after %v %d of %d nodes have version %d, want all within %v", seed, phase, elapsed, upToDate, nodes, service.version, within)
 				}
 				advance()
 			}
 		}
 		expectAllUpToDate("start", knownAfter)
 		service.version, service.pendingChange, upToDate, startedAt = 9, true, 0, now()
-		expectAllUpToDate("news", 100*time.Millisecond)
+		expectAllUpToDate("change", 100*time.Millisecond)
 		service.version, service.silent, upToDate, startedAt = 10, true, 0, now()
-		// From half of the longest hold on the service has calls to answer, so many one after the other.
+		// The service gets calls from half of the longest hold time on, and answers one per callTime.
 		expectAllUpToDate("silence", min(knownAfter, maxWatchHold/2+watchAnswerGrace+nodes*service.callTime+watchAnswerGrace))
 	}
 }
--- a/internal/node/protocol/discovery_test.go
+++ b/internal/node/protocol/discovery_test.go
@@ -12,12 +12,15 @@
 	"ospreybend/internal/testkit/scriptedpeer"
 )
 
+// listResponse returns a chunked response with a list, as scenario text.
 func listResponse(json string) string { return `{stream}` + scriptedpeer.Chunk(json) + `0\r\n\r\n` }
 
+// sameList has a later version than the fixture's cached list and no changes.
 const sameList = `{"index":8,"snapshot":false,"endpoints":[]}`
 
-// A watch may fall silent at any moment of its hold time, with its connection open. It is abandoned
-// and retried well before what it misses counts as known, 6 s after it fell silent.
+// The service may stop answering a watch at any moment of its hold time, with the connection open.
+// The watch is abandoned and retried well before a change that it missed counts as known, which is
+// 6 s after the service became silent.
 func TestDiscovery_silentAtAnyMomentOfTheWatch(t *testing.T) {
 	for _, before := range []int{0, 400, 1000, 1600, 1995} {
 		fx := newFixture(t, func(s *balance.Settings, _ *FrontConfig) { s.SubscribeDiscovery = true })
@@ -31,17 +34,17 @@
 			wait %dms
 			p send {same}
 			p expect from=8&hold_ms=2000
-			# Silent from here on.
+			# The service is silent from here on.
 			wait 2650ms
 			p closed
 			q accept pool
 			q expect from=8&hold_ms=1 HTTP/1.1
-			# Nor does this one say anything, for as long as its turn may take. The next is made at once.
+			# This call is not answered either, for as long as it may be queued. The next is made immediately.
 			wait 2250ms
 			q closed
 			r accept pool
 			r expect from=8&hold_ms=1 HTTP/1.1
-			# An answer after 2 s is one in its turn.
+			# A queued call may take 2 s to be answered.
 			wait 2000ms
 			r send {same}
 			r expect from=8&hold_ms=2000
@@ -49,7 +52,7 @@
 	}
 }
 
-// An answer may be split at any byte, and indented.
+// A list may be received in two parts, split at any byte, and be indented.
 func TestDiscovery_listSplitAndIndented(t *testing.T) {
 	list := "{\n  \"index\": 9,\n  \"snapshot\": false,\n  \"endpoints\": [\n    {\n      \"name\": \"s-1\",\n      \"status\": \"Terminating\"\n    }\n  ]\n}\n"
 	response := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(list), list)
@@ -58,11 +61,12 @@
 		fx.Variables["one"], fx.Variables["two"] = response[:at], response[at:]
 		fx.Play(lines("wait 100ms", "p accept pool", "p expect hold_ms=1 HTTP/1.1", "p send {one}", "p send {two}", "p expect from=9&hold_ms=2000"))
 		if at+3 >= len(response) && fx.ready("s-1") {
-			t.Error("the change was not applied")
+			t.Error("s-1 listed as Terminating in a split answer: got ready, want not ready")
 		}
 	}
 }
 
+// ready reports whether the core has a prep worker as ready.
 func (fx *fixture) ready(name string) (is bool) {
 	fx.Loop.Call(func() {
 		fx.core.EachWorker(func(id balance.WorkerID, state balance.State, _ float64) {
@@ -73,7 +77,7 @@
 }
 
 // The version goes backwards, as when another instance answers or one has lost its state. Its changes
-// do not apply to the list here: the complete list is requested at once, and the watch continues from it.
+// do not apply to the present list: the complete list is requested immediately, and the watch continues from it.
 func TestDiscovery_versionGoesBackwards(t *testing.T) {
 	fx := newFixture(t, func(s *balance.Settings, _ *FrontConfig) { s.SubscribeDiscovery = true })
 	fx.Variables["same"] = listResponse(sameList)
@@ -81,15 +85,15 @@
 	fx.Variables["all"] = listResponse(`{"index":3,"snapshot":true,"endpoints":[{"name":"s-2","status":"Ready","address":"127.0.0.1:1"}]}`)
 	fx.Play("wait 100ms\np accept pool\np expect hold_ms=1 HTTP/1.1\np send {same}\np expect from=8&hold_ms=2000\np send {older}\np expect from=0&hold_ms=1 HTTP/1.1")
 	if !fx.ready("s-2") {
-		t.Error("a change of another list counts")
+		t.Error("changes of an older version were applied: s-2 is not ready")
 	}
 	fx.Play("p send {all}\np expect from=3&hold_ms=2000")
 	if fx.ready("s-1") || !fx.ready("s-2") {
-		t.Error("the complete list does not count")
+		t.Errorf("after the complete list: s-1 ready %v, s-2 ready %v, want only s-2 ready", fx.ready("s-1"), fx.ready("s-2"))
 	}
 }
 
-// A call whose answer breaks off has failed: it is retried at once, and nothing of its answer counts.
+// A call whose answer breaks off has failed: it is retried immediately, and no part of its answer is applied.
 func TestDiscovery_listCutInTheMiddle(t *testing.T) {
 	fx := newFixture(t, func(s *balance.Settings, _ *FrontConfig) { s.SubscribeDiscovery = true })
 	fx.Variables["same"] = listResponse(sameList)
@@ -105,14 +109,14 @@
 		q expect from=8&hold_ms=2000
 	`)
 	if !fx.ready("s-1") {
-		t.Error("half a list counts")
+		t.Error("an incomplete list was applied: s-1 is not ready")
 	}
 }
 
-// The pool config goes down just as a prep worker begins to drain, and stays down for long: it
-// rejects calls, is silent, breaks off, or answers without an end. It may return right after any call,
-// which is lost too, and take 2 s to answer the next: no two calls are more than 4 s apart, so that the
-// change is known within 6 s of the return, whatever subscription time the settings allow.
+// The pool config fails just as a prep worker begins to drain, and stays down for long: it rejects
+// calls, is silent, breaks off answers, or does not end them. It may recover right after any call, which
+// is lost, and take 2 s to answer the next. For the change to be known within 6 s of the recovery, calls
+// must be at most 4 s apart, whatever subscription time the settings allow.
 func TestDiscovery_serviceDownDuringAChange(t *testing.T) {
 	const knownAfter, maxAnswerTime = 6 * time.Second, 2 * time.Second
 	for failure, response := range map[string]string{"refuses": `{down}`, "is silent": "", "breaks off": `HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n{"index":9,"snap`,
@@ -124,26 +128,26 @@
 			fx.Variables["same"] = listResponse(sameList)
 			fx.Variables["drains"] = listResponse(`{"index":9,"snapshot":false,"endpoints":[{"name":"s-1","status":"Terminating"}]}`)
 			fx.Variables["down"] = `HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n`
-			callsSeen := uint64(0) // calls that the node has made
+			callsSeen := uint64(0) // calls already accounted for
 			awaitCall := func(most time.Duration) (time.Duration, bool) {
 				elapsed, made := fx.AdvanceUntil(most, func() bool { return fx.discovery.counts.Sent > callsSeen })
 				callsSeen++
 				return elapsed, made
 			}
 			if _, made := awaitCall(5 * time.Second); !made {
-				t.Fatal("no call was made")
+				t.Fatal("no call to the pool config within 5s of the start")
 			}
 			fx.Play("p0 accept pool\np0 expect hold_ms=1 HTTP/1.1\np0 send {same}\np0 expect from=8&hold_ms=2000\np0 send {down}\np0 closed")
-			callsSeen++ // the second one on the same connection
+			callsSeen++ // the second call on the same connection
 			downSoFar := time.Duration(0)
 			for n := 1; ; n++ {
 				elapsed, made := awaitCall(down + knownAfter)
 				if downSoFar += elapsed; !made || elapsed > knownAfter-maxAnswerTime {
-					t.Fatalf("%s for %v: call %d comes %v after the one before it", failure, down, n, elapsed)
+					t.Fatalf("service %s for %v: call %d (made: %t) comes %v after the previous one, want at most %v", failure, down, n, made, elapsed, knownAfter-maxAnswerTime)
 				}
 				name := fmt.Sprint("p", n)
 				fx.Play(name + " accept pool\n" + name + " expect from=8")
-				if downSoFar >= down { // the first call after the return
+				if downSoFar >= down { // the first call after the recovery
 					fx.Play(lines(name+" send {drains}", name+" expect from=9&hold_ms=2000"))
 					break
 				}
@@ -161,14 +165,14 @@
 				}
 			}
 			if fx.ready("s-1") {
-				t.Errorf("%s for %v: the change is not known", failure, down)
+				t.Errorf("service %s for %v: s-1 is still ready after the change", failure, down)
 			}
 		}
 	}
 }
 
-// Where lists are pushed the agent is watched from the start on and retried soon while it is
-// silent, and the node is healthy once the agent has answered.
+// If lists are pushed, the agent is watched from the start, and calls are repeated after a short
+// time while it is silent.
 func TestDiscovery_pushedList(t *testing.T) {
 	fx := newFixture(t, nil)
 	fx.Variables["drains"] = listResponse(`{"index":9,"snapshot":false,"endpoints":[{"name":"s-1","status":"Terminating"}]}`)
@@ -184,18 +188,18 @@
 		p expect from=9&hold_ms=1000
 	`)
 	if fx.ready("s-1") {
-		t.Error("the agent's list is not applied")
+		t.Error("the agent listed s-1 as Terminating: got ready, want not ready")
 	}
 	fx.Play(`
-		# The service is down: the agent says nothing.
+		# The service is down: the agent does not answer.
 		wait 1400ms
 		p closed
 		q accept pool
 		q expect from=9&hold_ms=1 HTTP/1.1
 		wait 400ms
 		q closed
-		# By now the next call has been made, 50 to 150 ms after the last one's end, and is not yet
-		# given up.
+		# By now the next call has been made, 50 to 150 ms after the end of the last one, and has not
+		# timed out.
 		wait 100ms
 		r accept pool
 		r expect from=9&hold_ms=1 HTTP/1.1
@@ -203,7 +207,7 @@
 		r expect from=10&hold_ms=1000
 	`)
 	if !fx.ready("s-1") {
-		t.Error("the agent answers again and its list is not applied")
+		t.Error("the agent answers again and lists s-1 as Ready: got not ready, want ready")
 	}
 }
 
@@ -215,7 +219,7 @@
 	slog.SetDefault(slog.New(slog.NewTextHandler(&log, nil)))
 	defer slog.SetDefault(old)
 	fx := newFixture(t, func(s *balance.Settings, _ *FrontConfig) { s.SubscribeDiscovery = true })
-	fx.Variables["spoilt"] = listResponse(`{"index":9,"snapshot":true,"endpoints":[` +
+	fx.Variables["invalid"] = listResponse(`{"index":9,"snapshot":true,"endpoints":[` +
 		`{"name":"s-1","address":"somewhere","status":"Ready"},` +
 		`{"name":"s-2","address":"127.0.0.1:9","status":"Ready"},` +
 		`{"name":"s-2","address":"127.0.0.1:10","status":"Terminating"},` +
@@ -228,7 +232,7 @@
 		wait 100ms
 		p accept pool
 		p expect hold_ms=1 HTTP/1.1
-		p send {spoilt}
+		p send {invalid}
 		p expect from=9&hold_ms=2000
 	`)
 	var names []string
@@ -238,12 +242,12 @@
 		rejected = fx.discovery.RejectedEntries()
 	})
 	if len(names) != 3 || !fx.ready("s-1") || !fx.ready("s-2") || !fx.ready("s-6") || rejected != 6 {
-		t.Errorf("listed %v, %d entries rejected", names, rejected)
+		t.Errorf("list with invalid entries: got workers %v, %d entries rejected, want s-1, s-2 and s-6 ready, 6 rejected", names, rejected)
 	}
 	for _, want := range []string{"entry=0 destination=s-1 fault=\"address:", "entry=2 destination=s-2 fault=\"name: comes twice", "entry=3 destination=\"\" fault=\"name: missing",
 		"entry=4 destination=s-3 fault=\"status:", "entry=5 destination=s-4 fault=\"since_ms: 9000000000000000 lies in the future", "entry=6 destination=s-5 fault=\"since_ms: -1"} {
 		if !strings.Contains(log.String(), want) {
-			t.Errorf("no line has %q", want)
+			t.Errorf("no log line contains %q; log: %s", want, log.String())
 		}
 	}
 }
--- a/internal/node/protocol/fixture_test.go
+++ b/internal/node/protocol/fixture_test.go
@@ -19,9 +19,13 @@
 	discovery    *Discovery
 }
 
-// newFixture starts a node of two destinations, both played by the scripted peer "workers",
-// with two classes: 'pruefen' is idempotent, 'buchen' (a booking) must never run twice.
-// change may alter the settings.
+// newFixture starts a node with two destinations, both played by the scripted peer "workers", and
+// two classes: 'pruefen' (a check) is idempotent, 'buchen' (a booking) must never run twice.
+// configure may change the settings; it may be nil.
+//
+// Scenarios can use these texts: {ask} is an idempotent request with Req-Id a1, {book} a booking
+// with Req-Id b1, {stream} the head of a prep worker's response, and {done} and {booked} are the
+// rest of a response that reports the success of {ask} or {book}.
 func newFixture(t *testing.T, configure func(*balance.Settings, *FrontConfig)) *fixture {
 	t.Helper()
 	fx := &fixture{Bench: scriptedpeer.New(t)}
@@ -51,7 +55,7 @@
 	fx.Loop.Call(func() {
 		core, err := routing.New(settings, 1, fx.Loop, &fx.Loop.Timers)
 		if err != nil {
-			t.Error(err)
+			t.Errorf("create the core: %v", err)
 			return
 		}
 		fx.core = core
@@ -63,7 +67,7 @@
 		fx.discovery.Start()
 		fx.front = NewFront(frontConfig, fx.Loop, core)
 		if err := fx.front.Start(); err != nil {
-			t.Error(err)
+			t.Errorf("start the front on %s: %v", frontConfig.Listen, err)
 		}
 	})
 	return fx
@@ -75,15 +79,16 @@
 	return n
 }
 
-// checkTotals checks that each operation has one final answer or is open.
+// checkTotals checks that each operation either has one final answer or is open.
 func (fx *fixture) checkTotals(t *testing.T) {
 	t.Helper()
 	fx.Loop.Call(func() {
 		c := fx.core.Counts()
 		if c.Operations != c.Served+c.Refused+c.Failed+c.Rejected+c.Gone+c.Moved+uint64(fx.core.OpenOperations()) {
-			t.Errorf("operations and final answers do not add up: %+v, %d open", c, fx.core.OpenOperations())
+			t.Errorf("operations are not the sum of final answers and open operations: %+v, %d open", c, fx.core.OpenOperations())
 		}
 	})
 }
 
+// lines joins the steps of a scenario.
 func lines(parts ...string) string { return strings.Join(parts, "\n") }
--- a/internal/node/protocol/fragmentation_test.go
+++ b/internal/node/protocol/fragmentation_test.go
@@ -15,7 +15,7 @@
 
 func init() { _ = flag.Set("rapid.seed", "20261201") }
 
-// A request received in fragments, split at any byte, is parsed as in one piece.
+// A request received in fragments, split at any bytes, is parsed like one received in one piece.
 func TestServer_requestsSplitAnywhere(t *testing.T) {
 	head := "POST /a HTTP/1.1\r\n"
 	chunked := head + "Transfer-Encoding: chunked\r\nExpect: 100-continue\r\n\r\n"
@@ -34,25 +34,25 @@
 			if i < len(request) && !byteByByte && !rapid.Bool().Draw(t, "cut") {
 				continue
 			}
-			// Each time at another address, as buffers grow and move.
+			// Each call gets a copy at another address, since buffers grow and move.
 			if m, used, err := r.read(bytes.Clone([]byte(request[:i]))); used > 0 || err != nil {
 				got = describe(m, used, err)
 			}
 		}
 		if got != want {
-			t.Fatalf("%s, want %s", got, want)
+			t.Fatalf("%q in fragments: got %s, want %s as in one piece", request, got, want)
 		}
 	})
 }
 
-// sendByteByByte sends a text byte by byte, with a turn of the loop after each.
+// sendByteByByte sends a text byte by byte, with an iteration of the loop after each.
 func (fx *fixture) sendByteByByte(name, text string) {
 	for i := 0; i < len(text); i++ {
 		part := text[i : i+1]
 		switch part {
 		case " ":
 			part = "{blank}"
-		case `\`: // one byte in the scenario's spelling
+		case `\`: // an escape sequence of the scenario stands for one byte
 			i++
 			part = text[i-1 : i+1]
 		}
@@ -61,7 +61,7 @@
 	}
 }
 
-// Clients, prep workers, the pool config and operators may all send byte by byte.
+// Clients, prep workers, the pool config and operators can all send byte by byte.
 func TestFront_allPeersSendByteByByte(t *testing.T) {
 	fx := newFixture(t, nil)
 	fx.Variables["blank"] = " "
@@ -81,17 +81,17 @@
 	fx.sendByteByByte("o", `GET /-/ready HTTP/1.1\r\n\r\n`)
 	fx.Play("o expect HTTP/1.1 200\no closed")
 	if n := fx.outcomes(); n[balance.Served] != 1 || n[balance.Full] != 1 {
-		t.Errorf("outcomes %v", n)
+		t.Errorf("two requests answered byte by byte: got outcomes %v, want 1 Served and 1 Full", n)
 	}
 }
 
-// A prep worker's response breaks off at any byte, with the connection. Only a complete final line is a result, whether or not its
-// chunk is complete, and only a complete rejection proves that nothing ran: else a booking has failed, and is not retried.
+// A prep worker's response and connection end at any byte. Only a complete final line is a result, whether or not its chunk
+// is complete, and only a complete rejection proves that nothing ran. Otherwise a booking has failed and is not retried.
 func TestDestinations_responsesCutAnywhere(t *testing.T) {
-	type answer struct {
-		text string
-		from int // bytes that are a result, or prove that nothing ran
-		then string
+	type response struct {
+		text       string
+		conclusive int    // length from which the text is a result, or proves that nothing ran
+		expect     string // scenario step at that length; empty: the client may repeat the request
 	}
 	chunkedLine := func(state string) string {
 		text := `{"id":"b1","state":"` + state + `","result":"fine"}` + "\n"
@@ -101,27 +101,27 @@
 	doneResponse := head + chunkedLine("started") + chunkedLine("done")
 	returnedResponse := head + chunkedLine("returned")
 	declinedResponse := "HTTP/1.1 503 X\r\nSrv-Declined: 1\r\nContent-Length: 2\r\n\r\nno"
-	for name, a := range map[string]answer{"done": {doneResponse, len(doneResponse) - 2, "c expect HTTP/1.1 200"}, "returned": {returnedResponse, len(returnedResponse) - 2, ""},
+	for name, c := range map[string]response{"done": {doneResponse, len(doneResponse) - 2, "c expect HTTP/1.1 200"}, "returned": {returnedResponse, len(returnedResponse) - 2, ""},
 		"declined": {declinedResponse, len(declinedResponse), ""}} {
 		fx := newFixture(t, func(s *balance.Settings, _ *FrontConfig) { s.Limits.MaxAttempts = 1 })
 		fx.Play("c dial front")
-		for end := range len(a.text) + 1 {
-			fx.Variables["cut"] = a.text[:end]
-			then := "c expect HTTP/1.1 502"
-			if end >= a.from {
-				if then = a.then; then == "" {
-					then = "c expect HTTP/1.1 503" // it may be repeated: nothing ran
+		for end := range len(c.text) + 1 {
+			fx.Variables["cut"] = c.text[:end]
+			expect := "c expect HTTP/1.1 502"
+			if end >= c.conclusive {
+				if expect = c.expect; expect == "" {
+					expect = "c expect HTTP/1.1 503" // the client may repeat the request: nothing ran
 				}
 			}
-			fx.Play(lines("c send {book}", "s accept workers", `s expect \r\n\r\n`, "s send {cut}", "s close", then))
+			fx.Play(lines("c send {book}", "s accept workers", `s expect \r\n\r\n`, "s send {cut}", "s close", expect))
 		}
-		t.Log(name, len(a.text))
+		t.Logf("%s: cut after each of %d bytes", name, len(c.text))
 		fx.checkTotals(t)
 	}
 }
 
-// A response whose final line arrives and whose end never does: its client is served, and its connection is closed after a
-// time, lest the descriptors be used up.
+// A response has a final line but never ends: its client is served, and the connection is closed after a time, so that
+// such responses do not use up the descriptors.
 func TestDestinations_responsesWithoutAnEnd(t *testing.T) {
 	fx := newFixture(t, nil)
 	fx.Variables["endless"] = strings.TrimSuffix(fx.Variables["done"], `0\r\n\r\n`)
--- a/internal/node/protocol/handover_test.go
+++ b/internal/node/protocol/handover_test.go
@@ -10,7 +10,7 @@
 	"ospreybend/internal/testkit/scriptedpeer"
 )
 
-// handOver hands all connections of a fixture over to another one, through the encoding.
+// handOver hands all connections of a fixture over to another one, and returns the encoded hand-overs.
 func (fx *fixture) handOver(t *testing.T, next *fixture) (encoded [][]byte) {
 	t.Helper()
 	var sockets [][]*os.File
@@ -18,7 +18,7 @@
 		fx.front.HandOver(fx.destinations, func(handover *Handover, connSockets []*os.File) {
 			message, err := handover.Encode()
 			if err != nil {
-				t.Error(err)
+				t.Errorf("encode a hand-over: %v", err)
 			}
 			encoded, sockets = append(encoded, message), append(sockets, connSockets)
 		})
@@ -26,7 +26,7 @@
 	for i, message := range encoded {
 		handover, err := DecodeHandover(message, len(sockets[i]))
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("decode hand-over %d: %v", i, err)
 		}
 		conns := next.Loop.Adopt(sockets[i], handover.Unread())
 		next.Loop.Call(func() { next.front.Adopt(next.destinations, handover, conns) })
@@ -35,9 +35,9 @@
 	return encoded
 }
 
-// A request in progress moves with half a line of its response read, and continues there; a
-// connection that has sent a request before may be idle after the move too. A hand-over that
-// is corrupt, or came with other sockets, is rejected.
+// A request in progress is handed over with half a line of its response read, and continues in
+// the other process. A connection that has sent a request before may stay idle there too. A
+// hand-over that is corrupt or comes with another number of sockets is rejected.
 func TestFront_HandOver(t *testing.T) {
 	old, next := newFixture(t, nil), newFixture(t, nil)
 	startedChunk := scriptedpeer.Chunk(`{"id":"a1","state":"started"}`)
@@ -64,24 +64,24 @@
 	old.Play("idle send GET /healthz HTTP/1.1\\r\\n\\r\\n\nidle expect HTTP/1.1 200")
 	next.checkTotals(t)
 	if n := old.front.sockets.Len(); n != 0 {
-		t.Errorf("%d front sockets are left behind", n)
+		t.Errorf("after the hand-over the old process has %d client connections, want 0", n)
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		corrupt := append([]byte(nil), rapid.SampledFrom(encoded).Draw(t, "parcel")...)
+		corrupt := append([]byte(nil), rapid.SampledFrom(encoded).Draw(t, "hand-over")...)
 		corrupt[rapid.IntRange(0, len(corrupt)-1).Draw(t, "at")] = rapid.Byte().Draw(t, "byte")
 		n := rapid.IntRange(0, 3).Draw(t, "sockets")
 		if handover, err := DecodeHandover(corrupt, n); err == nil && len(handover.Unread()) != n && len(handover.Learned) == 0 {
-			t.Fatal("sockets for another number of connections")
+			t.Fatalf("DecodeHandover accepted %d sockets for %d connections", n, len(handover.Unread()))
 		}
 	})
 }
 
-// A booking that was written and whose connection cannot be moved may have run: it fails in
+// A booking that was written but whose connection cannot be handed over may have run: it fails in
 // the next process and is not retried.
 func TestFront_HandOver_unflushedStays(t *testing.T) {
 	old, next := newFixture(t, nil), newFixture(t, nil)
 	old.Play("c dial front\nc send {book}\ns accept workers\ns expect b1")
-	next.Loop.Call(func() {}) // both are up
+	next.Loop.Call(func() {}) // both loops are running
 	var handle slottable.Handle
 	old.Loop.Call(func() {
 		for open := range old.front.calls {
@@ -95,6 +95,6 @@
 	})
 	next.WaitUntil(func() bool { return next.core.OpenOperations() == 0 && next.core.Counts().Operations == 1 })
 	if c := next.core.Counts(); c.Failed != 1 || c.Steps != 0 {
-		t.Errorf("failed %d, sent %d", c.Failed, c.Steps)
+		t.Errorf("booking that may have run, in the next process: got %d failed, %d steps sent, want 1 and 0", c.Failed, c.Steps)
 	}
 }
--- a/internal/node/protocol/platform_test.go
+++ b/internal/node/protocol/platform_test.go
@@ -14,7 +14,8 @@
 	"ospreybend/internal/testkit/scriptedpeer"
 )
 
-func TestFront_servedOverOneIdleConnection(t *testing.T) {
+// A request is forwarded, its result is sent to the client, and a second request can follow.
+func TestFront_servesRequests(t *testing.T) {
 	fx := newFixture(t, nil)
 	fx.Play(`
 		c dial front
@@ -26,16 +27,16 @@
 		s send {stream}` + scriptedpeer.Chunk(`{"id":"a1","state":"started"}`) + `{done}
 		c expect HTTP/1.1 200 OK\r\n
 		c expect \r\n\r\nfine
-		# Both destinations are one stand-in; a probe shows that the connection is warm.
+		# The client's connection stays open for the next request.
 		c send {ask}
 	`)
 	fx.checkTotals(t)
 	if n := fx.outcomes(); n[balance.Served] != 1 {
-		t.Errorf("outcomes %v", n)
+		t.Errorf("one request served: got outcomes %v, want 1 Served", n)
 	}
 }
 
-// A client's idempotency key is forwarded unchanged: prep workers drop repeats by it.
+// A client's idempotency key is forwarded unchanged, since prep workers use it to drop repeats.
 func TestFront_idempotencyKeyIsForwarded(t *testing.T) {
 	fx := newFixture(t, nil)
 	fx.Play(`
@@ -55,7 +56,7 @@
 	}
 }
 
-// Requests may be split anywhere, and pipelined.
+// Requests may be received in fragments, and pipelined.
 func TestServer_splitAndPipelined(t *testing.T) {
 	fx := newFixture(t, nil)
 	fx.Play(`
@@ -103,7 +104,7 @@
 		t.Log(name)
 		fx.Play(lines("c dial front", "c send "+c[0], "c expect HTTP/1.1 "+c[1], "c expect Connection: close", "c closed"))
 	}
-	// So is a well-formed request that is invalid.
+	// Well-formed but invalid requests are treated alike.
 	for _, c := range [][2]string{
 		{`POST /nichts HTTP/1.1\r\nReq-Id: a\r\n\r\n`, "404"},
 		{`GET /pruefen HTTP/1.1\r\nReq-Id: a\r\n\r\n`, "405"},
@@ -121,14 +122,14 @@
 	}
 	fx.Loop.Call(func() {
 		if n := fx.front.Counts().Rejected; n != 28 {
-			t.Errorf("%d requests counted as rejected", n)
+			t.Errorf("got %d requests counted as rejected, want 28", n)
 		}
 	})
 	fx.checkTotals(t)
 }
 
-// The Req-Id of a request in progress may not be used a second time: the second could end the
-// first, which may be another client's. Afterwards it may.
+// The Req-Id of a request in progress may not be used by another request, whose outcome could end
+// the first one, which may be another client's. After the end of the first it may be used again.
 func TestFront_duplicateRequestID(t *testing.T) {
 	fx := newFixture(t, nil)
 	fx.Play(`
@@ -156,12 +157,12 @@
 	`)
 	fx.checkTotals(t)
 	if n := fx.outcomes(); n[balance.Served] != 2 || n[balance.Cancelled] != 1 {
-		t.Errorf("outcomes %v", n)
+		t.Errorf("three requests of one Req-Id: got outcomes %v, want 2 Served and 1 Cancelled", n)
 	}
 }
 
-// A request that a destination rejects as invalid is the client's fault: it is not retried
-// elsewhere, and does not count against the destination.
+// A request that a destination rejects as invalid is the client's fault: it is not retried at
+// another destination and does not count as a failure of this one.
 func TestFront_destinationRejects(t *testing.T) {
 	fx := newFixture(t, nil)
 	for range 3 {
@@ -172,12 +173,12 @@
 	fx.Loop.Call(func() {
 		c := fx.core.Counts()
 		if c.Steps != 3 || c.Rejected != 3 || c.Outcomes[balance.Errored]+c.Outcomes[balance.Reset] != 0 {
-			t.Errorf("%+v", c)
+			t.Errorf("three requests rejected by the destination: got %+v, want 3 steps, 3 rejected, no Errored or Reset", c)
 		}
 	})
 }
 
-// A body of just 64 KiB is accepted.
+// A body of exactly 64 KiB, the maximum, is accepted.
 func TestFront_largestBody(t *testing.T) {
 	fx := newFixture(t, nil)
 	body := strings.Repeat("x", maxBodyBytes-3) + "end"
@@ -197,13 +198,13 @@
 		s closed
 	`)
 	if n := fx.outcomes(); n[balance.Cancelled] != 1 {
-		t.Errorf("outcomes %v", n)
+		t.Errorf("client disconnected: got outcomes %v, want 1 Cancelled", n)
 	}
 	fx.checkTotals(t)
 }
 
-// The protocol page's table of outcomes. Each response ends a booking's first step. A request
-// that never ran is retried or rejected; one that may have run never is.
+// Checks the outcomes that the protocol's documentation lists. Each response ends the first step
+// of a booking. A booking that never ran is retried; one that may have run is not.
 func TestDestinations_outcomes(t *testing.T) {
 	line := func(state string) string {
 		return `{stream}` + scriptedpeer.Chunk(`{"id":"b1","state":"`+state+`"}`) + `0\r\n\r\n`
@@ -212,20 +213,20 @@
 		answer string
 		want   balance.Outcome
 	}{
-		"done":                 {`{stream}{booked}`, balance.Served},
-		"failed":               {line("failed"), balance.Errored},
-		"returned":             {line("returned"), balance.Full},
-		"lost":                 {line("lost"), balance.Reset},
-		"500":                  {`HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n`, balance.Errored},
-		"503 declined":         {`HTTP/1.1 503 X\r\nSrv-Declined: 1\r\nContent-Length: 2\r\n\r\nno`, balance.Full},
-		"504 declined":         {`HTTP/1.1 504 X\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n`, balance.Full},
-		"503 alone":            {`HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n`, balance.Errored},
-		"200 without last":     {`{stream}0\r\n\r\n`, balance.Reset},
-		"unreadable":           {`nonsense\r\n\r\n`, balance.Reset},
-		"no end of line":       {`{stream}` + `19\r\n{"state":"done"         }\r\n0\r\n\r\n`, balance.Served},
-		"line no object":       {`{stream}` + scriptedpeer.Chunk(`hello`), balance.Reset},
-		"another's line":       {`{stream}{done}`, balance.Reset},
-		"interim, then served": {`HTTP/1.1 100 Continue\r\n\r\n{stream}{booked}`, balance.Served},
+		"done":                     {`{stream}{booked}`, balance.Served},
+		"failed":                   {line("failed"), balance.Errored},
+		"returned":                 {line("returned"), balance.Full},
+		"lost":                     {line("lost"), balance.Reset},
+		"500":                      {`HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n`, balance.Errored},
+		"503 declined":             {`HTTP/1.1 503 X\r\nSrv-Declined: 1\r\nContent-Length: 2\r\n\r\nno`, balance.Full},
+		"504 declined":             {`HTTP/1.1 504 X\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n`, balance.Full},
+		"503 without Srv-Declined": {`HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n`, balance.Errored},
+		"200 without a final line": {`{stream}0\r\n\r\n`, balance.Reset},
+		"unreadable":               {`nonsense\r\n\r\n`, balance.Reset},
+		"no newline at the end":    {`{stream}` + `19\r\n{"state":"done"         }\r\n0\r\n\r\n`, balance.Served},
+		"line is not an object":    {`{stream}` + scriptedpeer.Chunk(`hello`), balance.Reset},
+		"other request's line":     {`{stream}{done}`, balance.Reset},
+		"interim, then served":     {`HTTP/1.1 100 Continue\r\n\r\n{stream}{booked}`, balance.Served},
 	} {
 		t.Run(name, func(t *testing.T) {
 			fx := newFixture(t, nil)
@@ -239,28 +240,28 @@
 				fx.Play("c expect HTTP/1.1 502")
 			}
 			if n := fx.outcomes(); n[c.want] == 0 {
-				t.Errorf("want outcome %d, have %v", c.want, n)
+				t.Errorf("response %s: got outcomes %v, want one of outcome %d", c.answer, n, c.want)
 			}
 			fx.checkTotals(t)
 		})
 	}
 }
 
-// A request whose connection breaks after its last byte may have run: a booking is not retried,
-// and not answered 503, which would invite the client to repeat it.
+// A request whose connection ends after its last byte was written may have run: a booking is not
+// retried, and not answered 503 either, which would invite the client to repeat it.
 func TestDestinations_connectionBreaksAfterTheLastByte(t *testing.T) {
 	fx := newFixture(t, nil)
 	fx.Play(lines("c dial front", "c send {book}", "s accept workers", `s expect \r\n\r\n`, "s close", "c expect HTTP/1.1 502"))
 	if n := fx.outcomes(); n[balance.Reset] != 1 {
-		t.Errorf("outcomes %v", n)
+		t.Errorf("connection closed after the request: got outcomes %v, want 1 Reset", n)
 	}
 }
 
-// An idle connection that breaks at its next request leaves open whether that ran. After one
-// has, a booking gets a new connection for a while; an idempotent request still reuses one.
+// If an idle connection breaks at its next request, it is unknown whether the request ran. After
+// such a break, bookings get new connections for a while; idempotent requests still reuse one.
 func TestDestinations_nonIdempotentAvoidsIdleConnectionsAfterOneBroke(t *testing.T) {
 	fx := newFixture(t, nil)
-	fx.Loop.Call(func() { // one destination, so that it is clear which connection is meant
+	fx.Loop.Call(func() { // one destination, so that it is determined which connection is used
 		update := balance.ListUpdate{Kind: balance.ListChanges}
 		for id, target := range fx.destinations.byID {
 			if target.name == "s-2" {
@@ -281,7 +282,7 @@
 }
 
 // A refused connection proves that nothing ran: after the last attempt the booking is answered
-// 503, so that the client may repeat it.
+// 503, so that the client can repeat it.
 func TestDestinations_connectRefused(t *testing.T) {
 	fx := newFixture(t, nil)
 	unusedAddress := scriptedpeer.FreeAddress(t)
@@ -292,12 +293,12 @@
 	})
 	fx.Play(lines("c dial front", "c send {book}", "c expect HTTP/1.1 503"))
 	if n := fx.outcomes(); n[balance.ConnectFailed] != 2 {
-		t.Errorf("outcomes %v", n)
+		t.Errorf("connections refused: got outcomes %v, want 2 ConnectFailed", n)
 	}
 }
 
-// A request without an outcome is answered shortly before its deadline, and the step's
-// connection is closed.
+// A request without an outcome is answered shortly before its deadline, and the connection of its
+// step is closed.
 func TestFront_deadline(t *testing.T) {
 	fx := newFixture(t, nil)
 	fx.Play(`
@@ -313,12 +314,12 @@
 }
 
 // The destination begins to drain, or is disabled by an override, while the connection to it is
-// opened: not a byte may be written, since the platform's limit counts from a request's first byte.
+// being opened: not a byte may be written, since the platform's limit counts from a request's first byte.
 func TestDestinations_drainWhileConnecting(t *testing.T) {
 	t.Run("listed", func(t *testing.T) {
 		drainWhileConnecting(t, func(fx *fixture, up balance.ListUpdate) { fx.core.PoolChanged(up) })
 	})
-	t.Run("by hand", func(t *testing.T) {
+	t.Run("overridden", func(t *testing.T) {
 		drainWhileConnecting(t, func(fx *fixture, up balance.ListUpdate) {
 			fx.discovery.config.Overrides = override.Overrides{"s-1": {Out: true}, "s-2": {Out: true}}
 			for _, l := range up.Workers {
@@ -328,6 +329,7 @@
 	})
 }
 
+// drainWhileConnecting routes a booking and drains both destinations while its connection is being opened.
 func drainWhileConnecting(t *testing.T, drain func(*fixture, balance.ListUpdate)) {
 	fx := newFixture(t, nil)
 	fx.Loop.Call(func() {
@@ -337,36 +339,36 @@
 		}
 		m, _, fault := ParseRequest([]byte("POST /buchen HTTP/1.1\r\nReq-Id: b1\r\nReq-Deadline: 3\r\n\r\n"))
 		if fault != nil {
-			t.Error(fault)
+			t.Errorf("parse a valid request: %v", fault)
 			return
 		}
 		op, _ := fx.front.parseOperation(&m, 1)
 		op.Owner = fx.front
-		fx.core.Route(fx.core.Accept(op)) // dials, and the dial ends in a later turn
+		fx.core.Route(fx.core.Accept(op)) // dials; the dial ends in a later iteration of the loop
 		drain(fx, update)
 	})
 	fx.Play("s accept workers")
 	fx.WaitUntil(func() bool { return fx.core.Counts().Outcomes[balance.ConnectFailed] > 0 })
 	if n := fx.outcomes(); n[balance.Reset]+n[balance.Served]+n[balance.TimedOut] != 0 {
-		t.Errorf("outcomes %v", n)
+		t.Errorf("drained while connecting: got outcomes %v, want no Reset, Served or TimedOut", n)
 	}
 }
 
-// An idle connection is closed before the destination would close it: a request that crosses
-// that close would end as a reset, and may have run.
+// An idle connection is closed before the destination would close it: a request sent at the moment
+// of that close would end with a reset, and might have run.
 func TestDestinations_idleConnectionClosesFirst(t *testing.T) {
 	fx := newFixture(t, nil)
 	fx.Play(lines("c dial front", "c send {ask}", "s accept workers", "s expect hi", "s send {stream}{done}",
 		"c expect fine", "wait 59500ms", "s closed"))
 	fx.Loop.Call(func() {
 		if fx.destinations.openConns != 0 {
-			t.Errorf("%d connections are counted as open", fx.destinations.openConns)
+			t.Errorf("idle connection closed: got %d open connections, want 0", fx.destinations.openConns)
 		}
 	})
 }
 
-// The pool config's list is watched without a gap; a failed call is reported to the balancer,
-// which asks again.
+// The pool config's list is watched without a gap. A rejected call is reported to the balancer,
+// which calls again; one without an answer is retried immediately.
 func TestDiscovery_watchAndFetch(t *testing.T) {
 	fx := newFixture(t, func(s *balance.Settings, _ *FrontConfig) { s.SubscribeDiscovery = true })
 	list := func(json string) string { return `{stream}` + scriptedpeer.Chunk(json) + `0\r\n\r\n` }
@@ -386,8 +388,8 @@
 		wait 100ms
 		q accept pool
 		q expect GET /v1/servers?from=9&hold_ms=1 HTTP/1.1
-		# No answer in time is a failure too: 2 s are the service's, as it answers in turn. It is
-		# asked once more at once.
+		# A call without an answer in time has failed too. The time-out is over 2 s, since the service
+		# queues calls for so long. The call is retried immediately.
 		wait 2300ms
 		q closed
 		r accept pool
@@ -400,8 +402,8 @@
 	`)
 }
 
-// A watch that falls silent is abandoned and retried before the change that it misses counts as
-// known: 2 s past the hold time.
+// A watch that is not answered is abandoned soon after its hold time, and retried before a change
+// that it missed counts as known.
 func TestDiscovery_timeoutOfAWatch(t *testing.T) {
 	fx := newFixture(t, func(s *balance.Settings, _ *FrontConfig) { s.SubscribeDiscovery = true })
 	fx.Variables["same"] = `{stream}` + scriptedpeer.Chunk(`{"index":8,"snapshot":false,"endpoints":[]}`) + `0\r\n\r\n`
@@ -418,9 +420,9 @@
 	`)
 }
 
-// A new configuration moves the watch to another address at once. The node continues with its
-// list and version there, and the end of the old watch is not reported as a failure: the
-// balancer would wait a while before it asked again.
+// A new configuration moves the watch to another address immediately. The node continues with its
+// list and version there. The end of the old watch is not reported as a failure, after which the
+// balancer would wait a while before the next call.
 func TestDiscovery_SetAddress(t *testing.T) {
 	fx := newFixture(t, func(s *balance.Settings, _ *FrontConfig) { s.SubscribeDiscovery = true })
 	fx.Variables["same"] = `{stream}` + scriptedpeer.Chunk(`{"index":8,"snapshot":false,"endpoints":[]}`) + `0\r\n\r\n`
@@ -442,15 +444,15 @@
 		c send GET /healthz HTTP/1.1\r\n\r\n
 		c expect HTTP/1.1 503
 	`)
-	// Nor does it wait for the balancer where the last call had failed.
+	// If the last call has failed, the watch is reopened without waiting for the balancer.
 	fx.Play(lines(`n send HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n`, "n closed"))
 	address := fx.Listen("third")
 	fx.Loop.Call(func() { fx.discovery.SetAddress(address) })
 	fx.Play(lines("o accept third", "o expect from=9&hold_ms=1"))
 }
 
-// After SIGTERM the node still serves, answers 503 at /healthz, and closes each connection with
-// its last answer.
+// After BeginShutdown the node still serves requests and answers 503 at /healthz. After Stop it
+// closes each connection with its last answer.
 func TestServer_Stop(t *testing.T) {
 	fx := newFixture(t, nil)
 	fx.Play(`
@@ -483,7 +485,7 @@
 	fx.Loop.Call(func() {
 		select {
 		case <-drained:
-			t.Error("drained, and a client has not ended its side")
+			t.Error("drained was called before the client had closed its side")
 		default:
 		}
 	})
@@ -491,12 +493,12 @@
 	<-drained
 	if c, err := net.Dial("tcp", fx.front.config.Listen); err == nil {
 		c.Close()
-		t.Error("the node still listens")
+		t.Error("dial after Stop succeeded, want the listener closed")
 	}
 }
 
-// A client that does not complete a request within 2.8 s is answered 408, or its connection is
-// closed if nothing was received; a request received in fragments has no more time.
+// If a client does not complete a request within 2.8 s, it is answered 408, or its connection is
+// closed if nothing was received. A request received in fragments has no more time.
 func TestServer_unfinishedRequests(t *testing.T) {
 	fx := newFixture(t, nil)
 	fx.Play("silent dial front")
@@ -516,12 +518,12 @@
 		silent closed
 		head expect HTTP/1.1 408
 		head closed
-		# The second request of this one began to be read with the first's answer.
+		# The time of this connection's second request began with the answer to the first.
 		body send x
 		wait 1s
 		body expect HTTP/1.1 408
 		body closed
-		# A usual client's connection may stand idle.
+		# The connection of an ordinary client may stay idle.
 		c dial front
 		c send GET /healthz HTTP/1.1\r\n\r\n
 		c expect 200
@@ -531,28 +533,29 @@
 	`)
 	fx.Loop.Call(func() {
 		if fx.front.bufferedBytes != 0 || fx.front.counts.Silent != 1 {
-			t.Errorf("%d bytes held, %+v", fx.front.bufferedBytes, fx.front.counts)
+			t.Errorf("after the time-outs: got %d buffered bytes, counts %+v, want 0 bytes and Silent 1", fx.front.bufferedBytes, fx.front.counts)
 		}
 	})
 }
 
-// Near the limit silent connections are shed first, then stalled requests; an ordinary client
-// reopens its idle connection, but does not repeat half a request.
+// Near the limit silent connections are shed first, then stalled requests. Idle connections are
+// shed before other unfinished requests: an ordinary client reopens an idle connection, but does
+// not repeat an unfinished request.
 func TestServer_shedsSilentConnectionsFirst(t *testing.T) {
 	fx := newFixture(t, func(_ *balance.Settings, f *FrontConfig) { f.MaxSockets = spareSockets + 3 })
 	health := `send GET /healthz HTTP/1.1\r\n\r\n`
 	fx.Play(lines("a dial front", "a "+health, "a expect 200", "wait 1s", "silent dial front",
 		"half dial front", `half send POST /pruefen HTTP/1.1\r\n`))
 	fx.WaitUntil(func() bool { return fx.front.sockets.Len() == 3 && fx.front.bufferedBytes > 0 })
-	// The unfinished request is one of few and may yet be completed: the idle connection is shed.
+	// There are few unfinished requests, and this one may still be completed: the idle connection is shed.
 	fx.Play(lines("wait 300ms", "b dial front", "b "+health, "b expect 200", "silent closed", "c dial front", "c "+health,
 		"c expect 200", "a closed"))
-	// It is stalled now.
+	// The unfinished request is stalled now.
 	fx.Play(lines("wait 1800ms", "d dial front", "d "+health, "d expect 200", "half closed", "b "+health, "b expect 200"))
 }
 
-// A request sent over more than two seconds is served, also while many others are unfinished or
-// idle.
+// A request that takes more than two seconds to be received is served, even while many other
+// connections are idle or have unfinished requests.
 func TestServer_slowRequestAmongMany(t *testing.T) {
 	fx := newFixture(t, func(_ *balance.Settings, f *FrontConfig) { f.MaxSockets = spareSockets + 8 })
 	fx.Variables["slowly"] = scriptedpeer.Chunk(`{"id":"slow","state":"done","result":"fine"}`) + `0\r\n\r\n`
@@ -589,8 +592,8 @@
 	`)
 }
 
-// Hundreds of silent connections arrive at once; an ordinary client that connects right after
-// them is served.
+// As many silent connections as the limit allows are opened at once. An ordinary client that
+// connects right after them is served.
 func TestServer_ordinaryClientAfterABurst(t *testing.T) {
 	fx := newFixture(t, func(_ *balance.Settings, f *FrontConfig) { f.MaxSockets = spareSockets + 3 })
 	for i := range 11 {
@@ -600,7 +603,7 @@
 	fx.Play(lines("wait 30ms", "c dial front", `c send GET /healthz HTTP/1.1\r\n\r\n`, "c expect 200"))
 }
 
-// Where every connection has a request in progress a further client is answered 503 at once,
+// If every connection has a request in progress, a further client is answered 503 immediately
 // instead of waiting in the listen backlog.
 func TestServer_allSocketsBusy(t *testing.T) {
 	fx := newFixture(t, func(s *balance.Settings, f *FrontConfig) { f.MaxSockets, s.Limits.MaxAttempts = overflowSockets+1, 1 })
@@ -618,7 +621,7 @@
 	`)
 }
 
-// Unfinished requests share one memory limit; beyond it the largest is rejected.
+// Unfinished requests share one memory limit. If it is exceeded, the largest request is rejected.
 func TestServer_inputMemoryLimit(t *testing.T) {
 	fx := newFixture(t, func(_ *balance.Settings, f *FrontConfig) { f.MaxBufferedBytes = 100 << 10 })
 	part := func(name string, bytes int) string {
@@ -635,7 +638,7 @@
 		scriptedpeer.Chunk(`{"id":"one","state":"done","result":"fine"}`)+`0\r\n\r\n`, "one expect fine"))
 }
 
-// A client that keeps writing at full speed still gets the error, and its descriptor is released.
+// A client that writes continuously still receives the error, and its descriptor is released.
 func TestServer_errorArrivesAtFullSpeed(t *testing.T) {
 	fx := newFixture(t, nil)
 	fx.Play(`
@@ -650,36 +653,36 @@
 	fx.WaitUntil(func() bool { return fx.front.listener.Open() == 0 })
 }
 
-// However it is split, a request is parsed as if received at once, and a line once parsed is
-// not parsed again.
+// However a request is split, it is parsed as if it had been received in one piece, and the parser's
+// position never decreases: no line is parsed again.
 func TestRequestReader_resumes(t *testing.T) {
 	for _, text := range []string{
 		"\r\nPOST /a HTTP/1.1\r\nReq-Id: a\r\nContent-Length: 2\r\n\r\nhi",
 		"POST /a HTTP/1.1\nTransfer-Encoding: chunked\r\n\r\n1;x=y\r\nh\r\n1\r\ni\r\n0\r\nT: x\r\n\r\n",
 	} {
 		var r requestReader
-		at := 0
+		position := 0
 		for n := 1; n < len(text); n++ {
-			if _, used, err := r.read([]byte(text[:n])); used != 0 || err != nil || r.position < at {
-				t.Fatalf("%q: used %d, read to %d after %d, %v", text[:n], used, r.position, at, err)
+			if _, used, err := r.read([]byte(text[:n])); used != 0 || err != nil || r.position < position {
+				t.Fatalf("incomplete %q: used %d, position %d after %d, error %v; want used 0, a position that does not decrease, no error", text[:n], used, r.position, position, err)
 			}
-			at = r.position
+			position = r.position
 		}
 		m, used, err := r.read([]byte(text))
 		if used != len(text) || err != nil || string(m.Body) != "hi" || string(m.Target) != "/a" {
-			t.Errorf("%q: used %d, body %q, %v", text, used, m.Body, err)
+			t.Errorf("%q: used %d, target %q, body %q, error %v; want all %d bytes, target /a, body hi", text, used, m.Target, m.Body, err, len(text))
 		}
-		if at == 0 {
-			t.Errorf("%q: nothing was noted before its end", text)
+		if position == 0 {
+			t.Errorf("%q: the position is still 0 before the last byte", text)
 		}
 	}
 	framing := strings.Repeat("1;"+strings.Repeat("x", 1<<10)+"\r\nx\r\n", 200)
 	if _, _, err := ParseRequest([]byte("POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n" + framing)); err == nil || err.Status != 413 {
-		t.Errorf("a body that is all framing: %v", err)
+		t.Errorf("chunked body with 200 KiB of framing: got error %v, want status 413", err)
 	}
 }
 
-// At the limit of connections the one idle longest is shed.
+// At the limit of connections the one that has been idle the longest is shed.
 func TestServer_socketsAtTheLimit(t *testing.T) {
 	fx := newFixture(t, func(_ *balance.Settings, f *FrontConfig) { f.MaxSockets = spareSockets + 2 })
 	health := `send GET /healthz HTTP/1.1\r\n\r\n`
@@ -687,8 +690,8 @@
 		"wait 1s", "c dial front", "c "+health, "c expect 200", "a closed", "b "+health, "b expect 200"))
 }
 
-// A connection abandoned while it is opened counts until its socket is closed: the limit of
-// descriptors would else be exceeded.
+// A connection abandoned while it is being opened counts as open until its socket is closed.
+// Otherwise the limit of descriptors could be exceeded.
 func TestDestinations_abandonedDialCountsUntilClosed(t *testing.T) {
 	fx := newFixture(t, nil)
 	step := slottable.Handle(99)
@@ -699,14 +702,14 @@
 		}
 		fx.destinations.Abort(step)
 		if fx.destinations.openConns != 1 {
-			t.Errorf("%d connections count while one is still being given up", fx.destinations.openConns)
+			t.Errorf("after Abort during a dial: got %d open connections, want 1 until the socket is closed", fx.destinations.openConns)
 		}
 	})
 	fx.WaitUntil(func() bool { return fx.destinations.openConns == 0 })
 }
 
-// At the limit of connections to destinations a step fails as not connected, so that it never
-// ran, and the node continues.
+// At the limit of connections to destinations a step fails with ConnectFailed, which proves that
+// it never ran, and the node continues to serve.
 func TestDestinations_connectionsAtTheLimit(t *testing.T) {
 	fx := newFixture(t, nil)
 	fx.Loop.Call(func() { fx.destinations.config.MaxConnections = 0 })
@@ -714,6 +717,7 @@
 		`c send GET /healthz HTTP/1.1\r\n\r\n`, "c expect 200"))
 }
 
+// Load reports may use either name of a field. Missing fields are NaN, which -1 stands for here.
 func TestDestinations_loadReports(t *testing.T) {
 	fx := newFixture(t, nil)
 	c := &destinationConn{owner: fx.destinations}
@@ -724,16 +728,17 @@
 	} {
 		got := c.report([]byte(text))
 		if len(got) != 2 || got[1] != want[1] || want[0] >= 0 && got[0] != want[0] || want[0] < 0 && got[0] == got[0] {
-			t.Errorf("%s: %v", text, got)
+			t.Errorf("load report %s: got %v, want %v (-1: NaN)", text, got, want)
 		}
 	}
 	if got := c.report([]byte(`[1]`)); got != nil {
-		t.Errorf("no object: %v", got)
+		t.Errorf("load report [1], not an object: got %v, want nil", got)
 	}
 }
 
-// A process that may be killed soon answers all requests before: idempotent ones are answered
-// 503, others fail, and later requests have no longer deadline either.
+// LimitDeadlines makes a process that may be killed soon answer all requests before that: at the
+// limit idempotent ones are answered 503 and others fail, and later requests have no longer
+// deadline.
 func TestFront_limitedDeadlines(t *testing.T) {
 	fx := newFixture(t, nil)
 	fx.Play(`
@@ -763,20 +768,20 @@
 	fx.checkTotals(t)
 }
 
-// A destination answers a probe with 503. Nothing is sent there for a while, though the list has
-// it as ready.
+// A destination answers a probe with 503. No request is sent to it for a while, although it is
+// listed as ready.
 func TestDestinations_probeRejected(t *testing.T) {
 	fx := newFixture(t, nil)
 	fx.Variables["no"] = `HTTP/1.1 503 X\r\nContent-Length: 2\r\n\r\n{}`
 	fx.leaveOneWorker()
 	fx.Loop.Call(func() { fx.destinations.Probe(workerIDOf("s-1")) })
 	fx.Play(lines("p accept workers", "p expect GET /load", "p send {no}"))
-	fx.WaitUntil(func() bool { return len(fx.destinations.byID[workerIDOf("s-1")].idle) == 1 }) // the response is read and its connection idle
+	fx.WaitUntil(func() bool { return len(fx.destinations.byID[workerIDOf("s-1")].idle) == 1 }) // the response has been read and its connection is idle
 	fx.Play(lines("c dial front", "c send {ask}", "c arrives"))
 	fx.WaitUntil(func() bool { return fx.core.OpenOperations() == 1 })
 	fx.Play("wait 1s")
 	if n := fx.stepsSent(); n != 0 {
-		t.Errorf("%d attempts", n)
+		t.Errorf("after a probe answered with 503: got %d attempts, want 0", n)
 	}
 	fx.Play(lines("wait 1100ms", "p expect hi", "p send {stream}{done}", "c expect HTTP/1.1 200"))
 }
