--- a/internal/node/zones/agent/agent.go
+++ b/internal/node/zones/agent/agent.go
@@ -40,7 +40,7 @@
 // Dispatcher is the part of the node's dispatcher that the agent uses.
 type Dispatcher interface {
 	ZoneShares(balance.ZoneShares)
-	Zones() []balance.ZoneView
+	Zones() []balance.ZoneCapacity
 }
 
 // Reporter sends reports to voters; see transport.Client.
