--- a/cmd/ospreybend/hot_restart.go
+++ b/cmd/ospreybend/hot_restart.go
@@ -35,7 +35,7 @@
 // loop.
 func (n *node) directoryChanged(recorded override.Overrides, others int) {
 	n.loop.Post(func() {
-		n.admin.Merge(recorded)
+		n.admin.MergeOverrides(recorded)
 		n.divideBudgets(others)
 	})
 }
--- a/cmd/ospreybend/node.go
+++ b/cmd/ospreybend/node.go
@@ -235,7 +235,7 @@
 	slog.Info("counts", "operations", core.Operations, "served", core.Served, "refused", core.Refused, "failed", core.Failed,
 		"rejected", core.Rejected, "gone", core.Gone, "moved", core.Moved, "open", n.core.OpenOperations(), "steps", core.Steps,
 		"outcomes", fmt.Sprint(core.Outcomes),
-		"turned_away", front.Rejected, "silent", front.Silent, "shed", front.Shed, "full", front.Full,
+		"turned_away", front.Rejected, "silent", front.Silent, "shed", front.Shed, "full", front.AtCapacity,
 		"list_asked", discovery.Sent, "list_answered", discovery.Answered, "list_refused", discovery.Rejected, "list_silent", discovery.TimedOut)
 	if n.batch != nil {
 		batch := n.batch.jobs.Counts()
--- a/internal/node/protocol/admin.go
+++ b/internal/node/protocol/admin.go
@@ -184,13 +184,13 @@
 			reply(500, "it is out in this process, but not recorded in TMPDIR: an upgrade would forget it")
 			return
 		}
-		a.Merge(current)
+		a.MergeOverrides(current)
 		reply(200, "done")
 	})
 }
 
-// Merge applies overrides stored by this process or another one of this node.
-func (a *Admin) Merge(stored override.Overrides) {
+// MergeOverrides applies overrides stored by this process or another one of this node.
+func (a *Admin) MergeOverrides(stored override.Overrides) {
 	for _, name := range a.overrides.Merge(stored) {
 		slog.Info("manual override applied", "prep_worker", name, "out", a.overrides.Out(name), "recorded", true)
 		a.applyOverride(workerIDOf(name))
@@ -225,7 +225,7 @@
 	}
 	line("attempts", a.destinations.Attempts(), "c")
 	line("in_flight", uint64(a.core.OpenOperations()), "g")
-	line("prep_workers_known", uint64(a.discovery.Listed()), "g")
+	line("prep_workers_known", uint64(a.discovery.ListedCount()), "g")
 	line("prep_workers_excluded", uint64(a.countExcluded()), "g")
 	return buffer.Bytes()
 }
--- a/internal/node/protocol/discovery.go
+++ b/internal/node/protocol/discovery.go
@@ -107,8 +107,8 @@
 // Counts returns the totals of the calls since the start.
 func (d *Discovery) Counts() CallCounts { return d.counts }
 
-// Listed returns the number of destinations in the list.
-func (d *Discovery) Listed() int { return len(d.listed) }
+// ListedCount returns the number of destinations in the list.
+func (d *Discovery) ListedCount() int { return len(d.listed) }
 
 // Find returns the ID of a destination that any list since the start has named.
 func (d *Discovery) Find(name string) (balance.WorkerID, bool) {
--- a/internal/node/protocol/server.go
+++ b/internal/node/protocol/server.go
@@ -61,10 +61,10 @@
 
 // ServerCounts are a server's totals since its start.
 type ServerCounts struct {
-	Rejected uint64 // requests that were malformed, invalid or incomplete at their time-out
-	Silent   uint64 // connections closed because nothing was received on them
-	Shed     uint64 // connections closed to keep within the limits
-	Full     uint64 // connections answered 503 at capacity
+	Rejected   uint64 // requests that were malformed, invalid or incomplete at their time-out
+	Silent     uint64 // connections closed because nothing was received on them
+	Shed       uint64 // connections closed to keep within the limits
+	AtCapacity uint64 // connections answered 503 at capacity
 }
 
 // NewServer returns a server for an address; Start opens it. It has at most maxSockets
@@ -165,7 +165,7 @@
 	if s.listener.Open() > s.maxSockets-overflowSockets {
 		// No other connection could be shed. Without an answer the client would wait in the
 		// listen backlog.
-		s.counts.Full++
+		s.counts.AtCapacity++
 		client.replyError(503, atCapacityText, nil)
 	}
 	return client
