--- a/internal/node/protocol/discovery_queue_test.go
+++ b/internal/node/protocol/discovery_queue_test.go
@@ -17,28 +17,30 @@
 	"ospreybend/internal/testkit/scriptedpeer"
 )
 
-// serialService is a pool config for many nodes, on the test's clock: it answers calls without a hold time one after the
-// other, and rejects at once those that would wait too long. The end of a hold time costs nothing.
+// serialService is a pool config for many nodes that runs on the test's clock. It answers calls without a hold time one
+// after the other and immediately rejects those that would wait too long. Answers at the end of a hold time take no time.
 type serialService struct {
-	callTime, maxWait time.Duration
+	callTime, maxWait time.Duration // per call; until a call's answer
 	version           int
-	pendingChange     bool // to be sent on the watches, once
-	silent            bool // nothing comes on the watches any more
+	pendingChange     bool // all watches are answered, once
+	silent            bool // watches are not answered any more
 
-	mu               sync.Mutex
-	calls, ended     int // calls, connections
-	arrived, waiting []*queuedCall
-	watches          []*queuedCall
-	dead             map[net.Conn]bool
-	busyUntil        time.Duration // when the turns given so far are over
+	mu                     sync.Mutex // guards the fields below
+	callCount, closedCount int        // calls received, connections closed by nodes
+	arrived, waiting       []*queuedCall
+	watches                []*queuedCall
+	closedConns            map[net.Conn]bool
+	busyUntil              time.Duration // when all queued calls are answered
 }
 
+// queuedCall is a call that is not answered yet.
 type queuedCall struct {
-	conn net.Conn
-	hold time.Duration
-	at   time.Duration // when it is answered; 0: not given yet
+	conn     net.Conn
+	hold     time.Duration
+	answerAt time.Duration // when it is due to be answered; 0: not determined yet
 }
 
+// serve accepts connections and queues the calls received on them.
 func (s *serialService) serve(l net.Listener) {
 	for {
 		conn, err := l.Accept()
@@ -51,14 +53,14 @@
 				r, err := http.ReadRequest(in)
 				s.mu.Lock()
 				if err != nil {
-					s.dead[conn] = true
-					s.ended++
+					s.closedConns[conn] = true
+					s.closedCount++
 					s.mu.Unlock()
 					return
 				}
 				hold, _ := strconv.Atoi(r.FormValue("hold_ms"))
 				c := &queuedCall{conn: conn, hold: time.Duration(hold) * time.Millisecond}
-				s.calls++
+				s.callCount++
 				s.arrived = append(s.arrived, c)
 				s.mu.Unlock()
 			}
@@ -66,13 +68,13 @@
 	}
 }
 
-// run answers and rejects the calls that are due now, and returns their number.
-func (s *serialService) run(now time.Duration) (answered int) {
+// answerDue answers or rejects the calls that are due, and returns their number.
+func (s *serialService) answerDue(now time.Duration) (answered int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, c := range s.arrived {
 		if c.hold > time.Millisecond {
-			c.at = now + c.hold
+			c.answerAt = now + c.hold
 			s.watches = append(s.watches, c)
 			continue
 		}
@@ -82,24 +84,24 @@
 			continue
 		}
 		s.busyUntil += s.callTime
-		c.at = s.busyUntil
+		c.answerAt = s.busyUntil
 		s.waiting = append(s.waiting, c)
 	}
 	s.arrived = nil
 	s.watches = slices.DeleteFunc(s.watches, func(c *queuedCall) bool {
-		ends := s.pendingChange || !s.silent && now >= c.at
-		if ends {
+		due := s.pendingChange || !s.silent && now >= c.answerAt
+		if due {
 			s.answer(c)
 			answered++
 		}
-		return ends
+		return due
 	})
 	s.pendingChange = false
-	for len(s.waiting) > 0 && s.waiting[0].at <= now {
+	for len(s.waiting) > 0 && s.waiting[0].answerAt <= now {
 		c := s.waiting[0]
 		s.waiting = s.waiting[1:]
-		if s.dead[c.conn] {
-			continue // its turn was for nothing
+		if s.closedConns[c.conn] {
+			continue // the service has spent the call's time for nothing
 		}
 		s.answer(c)
 		answered++
@@ -107,85 +109,86 @@
 	return answered
 }
 
+// answer sends a list of the present version without changes.
 func (s *serialService) answer(c *queuedCall) {
 	list := fmt.Sprintf(`{"index":%d,"snapshot":false,"endpoints":[]}`, s.version)
 	fmt.Fprintf(c.conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(list), list)
 }
 
-// Many nodes start together, and the pool config answers few calls a second: its list is known to all within the 6 s after
-// which it counts as known, as far as it can answer so many by then. Then a change ends all watches at once, so that they
-// are reopened together, and all fall silent. They do not end together: the service has calls to answer as early as half
-// of the longest hold time later.
+// Many nodes start together, and the pool config answers few calls per second: all nodes have its list within the 6 s
+// after which it counts as known, provided that it can answer so many calls by then. Then a change ends all watches, which
+// are reopened together, and the service stops answering them. The watches do not end together, owing to the jitter of
+// their hold times: the service gets calls to answer as early as half of the longest hold time later.
 func TestDiscovery_manyClientsAtASerialService(t *testing.T) {
-	const nodes, known = 16, 6 * time.Second
+	const nodes, knownAfter = 16, 6 * time.Second
 	for seed := range uint64(5) {
-		stage := scriptedpeer.New(t)
-		service := &serialService{callTime: 200 * time.Millisecond, maxWait: 2 * time.Second, version: 8, dead: map[net.Conn]bool{}}
+		bench := scriptedpeer.New(t)
+		service := &serialService{callTime: 200 * time.Millisecond, maxWait: 2 * time.Second, version: 8, closedConns: map[net.Conn]bool{}}
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("listen for the service: %v", err)
 		}
 		t.Cleanup(func() { l.Close() })
 		go service.serve(l)
-		pools := make([]*Discovery, nodes)
-		now := func() (at time.Duration) { stage.Loop.Call(func() { at = stage.Loop.Now() }); return at }
-		began := now()
-		stage.Loop.Call(func() {
-			for i := range pools {
+		discoveries := make([]*Discovery, nodes)
+		now := func() (at time.Duration) { bench.Loop.Call(func() { at = bench.Loop.Now() }); return at }
+		startedAt := now()
+		bench.Loop.Call(func() {
+			for i := range discoveries {
 				core, err := routing.New(balance.Settings{Balancers: nodes, Ordinal: i, SubscribeDiscovery: true,
 					Resolution: 2 * time.Millisecond, Classes: []balance.Class{{Timeout: time.Second}},
 					Limits: balance.Limits{MaxAttempts: 1}, Rules: balance.Rules{InitialCapacity: 1, SubscribeWithin: 10 * time.Second}},
-					seed*nodes+uint64(i), stage.Loop, &stage.Loop.Timers)
+					seed*nodes+uint64(i), bench.Loop, &bench.Loop.Timers)
 				if err != nil {
-					t.Error(err)
+					t.Errorf("create the core of node %d: %v", i, err)
 					return
 				}
-				to := NewDestinations(DestinationConfig{}, stage.Loop, core)
-				pools[i] = NewDiscovery(DiscoveryConfig{Address: l.Addr().String(), ConnectTimeout: time.Minute,
+				destinations := NewDestinations(DestinationConfig{}, bench.Loop, core)
+				discoveries[i] = NewDiscovery(DiscoveryConfig{Address: l.Addr().String(), ConnectTimeout: time.Minute,
 					Jitter:     rand.New(rand.NewPCG(seed, uint64(i))).Float64,
-					CachedList: EndpointList{Version: 7}}, stage.Loop, core, to)
-				peers, _ := NewPeers(PeersConfig{}, stage.Loop, core)
-				core.Connect(to, pools[i], peers)
-				pools[i].Start()
+					CachedList: EndpointList{Version: 7}}, bench.Loop, core, destinations)
+				peers, _ := NewPeers(PeersConfig{}, bench.Loop, core)
+				core.Connect(destinations, discoveries[i], peers)
+				discoveries[i].Start()
 			}
 		})
-		answered, knowing := 0, 0
-		step := func() {
-			stage.Advance(10 * time.Millisecond)
+		answered, upToDate := 0, 0
+		advance := func() {
+			bench.Advance(10 * time.Millisecond)
 			var sum CallCounts
-			level := func() bool { // what either side has done the other has seen
-				sum, knowing = CallCounts{}, 0
-				for _, d := range pools {
+			caughtUp := func() bool { // both sides have processed all that the other has sent
+				sum, upToDate = CallCounts{}, 0
+				for _, d := range discoveries {
 					sum.Sent += d.counts.Sent
 					sum.Answered += d.counts.Answered
 					sum.Rejected += d.counts.Rejected
 					sum.TimedOut += d.counts.TimedOut
 					if d.version == uint64(service.version) {
-						knowing++
+						upToDate++
 					}
 				}
 				service.mu.Lock()
 				defer service.mu.Unlock()
-				return int(sum.Sent) == service.calls && int(sum.Answered+sum.Rejected) == answered &&
-					int(sum.Rejected+sum.TimedOut) == service.ended
+				return int(sum.Sent) == service.callCount && int(sum.Answered+sum.Rejected) == answered &&
+					int(sum.Rejected+sum.TimedOut) == service.closedCount
 			}
-			stage.WaitUntil(level)
-			answered += service.run(now())
-			stage.WaitUntil(level)
+			bench.WaitUntil(caughtUp)
+			answered += service.answerDue(now())
+			bench.WaitUntil(caughtUp)
 		}
-		allKnow := func(what string, within time.Duration) {
-			for knowing < nodes {
-				if span := now() - began; span > within {
-					t.Fatalf("seed %d, %s: after %v %d of %d nodes know", seed, what, span, knowing, nodes)
+		expectAllUpToDate := func(phase string, within time.Duration) {
+			for upToDate < nodes {
+				if elapsed := now() - startedAt; elapsed > within {
+					t.Fatalf("seed %d, %s: after %v %d of %d nodes have version %d, want all within %v", seed, phase, elapsed, upToDate, nodes, service.version, within)
 				}
-				step()
+				advance()
 			}
 		}
-		allKnow("start", known)
-		service.version, service.pendingChange, knowing, began = 9, true, 0, now()
-		allKnow("news", 100*time.Millisecond)
-		service.version, service.silent, knowing, began = 10, true, 0, now()
-		// From half of the longest hold on the service has calls to answer, so many one after the other.
-		allKnow("silence", min(known, maxWatchHold/2+watchAnswerGrace+nodes*service.callTime+watchAnswerGrace))
+		expectAllUpToDate("start", knownAfter)
+		service.version, service.pendingChange, upToDate, startedAt = 9, true, 0, now()
+		expectAllUpToDate("change", 100*time.Millisecond)
+		service.version, service.silent, upToDate, startedAt = 10, true, 0, now()
+		// The service gets calls from half of the longest hold time on, and answers one per callTime.
+		expectAllUpToDate("silence", min(knownAfter, maxWatchHold/2+watchAnswerGrace+nodes*service.callTime+watchAnswerGrace))
 	}
 }
--- a/internal/node/protocol/discovery_test.go
+++ b/internal/node/protocol/discovery_test.go
@@ -12,17 +12,20 @@
 	"ospreybend/internal/testkit/scriptedpeer"
 )
 
-func answered(json string) string { return `{stream}` + scriptedpeer.Chunk(json) + `0\r\n\r\n` }
+// listResponse returns a chunked response with a list, as scenario text.
+func listResponse(json string) string { return `{stream}` + scriptedpeer.Chunk(json) + `0\r\n\r\n` }
 
+// sameList has a later version than the fixture's cached list and no changes.
 const sameList = `{"index":8,"snapshot":false,"endpoints":[]}`
 
-// A watch may fall silent at any moment of its hold time, with its connection open. It is abandoned
-// and retried well before what it misses counts as known, 6 s after it fell silent.
+// The service may stop answering a watch at any moment of its hold time, with the connection open.
+// The watch is abandoned and retried well before a change that it missed counts as known, which is
+// 6 s after the service became silent.
 func TestDiscovery_silentAtAnyMomentOfTheWatch(t *testing.T) {
 	for _, before := range []int{0, 400, 1000, 1600, 1995} {
-		w := newFixture(t, func(s *balance.Settings, _ *FrontConfig) { s.SubscribeDiscovery = true })
-		w.Variables["same"] = answered(sameList)
-		w.Play(fmt.Sprintf(`
+		fx := newFixture(t, func(s *balance.Settings, _ *FrontConfig) { s.SubscribeDiscovery = true })
+		fx.Variables["same"] = listResponse(sameList)
+		fx.Play(fmt.Sprintf(`
 			wait 100ms
 			p accept pool
 			p expect hold_ms=1 HTTP/1.1
@@ -31,17 +34,17 @@
 			wait %dms
 			p send {same}
 			p expect from=8&hold_ms=2000
-			# Silent from here on.
+			# The service is silent from here on.
 			wait 2650ms
 			p closed
 			q accept pool
 			q expect from=8&hold_ms=1 HTTP/1.1
-			# Nor does this one say anything, for as long as its turn may take. The next is made at once.
+			# This call is not answered either, for as long as it may be queued. The next is made immediately.
 			wait 2250ms
 			q closed
 			r accept pool
 			r expect from=8&hold_ms=1 HTTP/1.1
-			# An answer after 2 s is one in its turn.
+			# A queued call may take 2 s to be answered.
 			wait 2000ms
 			r send {same}
 			r expect from=8&hold_ms=2000
@@ -49,51 +52,52 @@
 	}
 }
 
-// An answer may be split at any byte, and indented.
+// A list may be received in two parts, split at any byte, and be indented.
 func TestDiscovery_listSplitAndIndented(t *testing.T) {
-	text := "{\n  \"index\": 9,\n  \"snapshot\": false,\n  \"endpoints\": [\n    {\n      \"name\": \"s-1\",\n      \"status\": \"Terminating\"\n    }\n  ]\n}\n"
-	complete := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
-	for at := 1; at < len(complete); at += 3 {
-		w := newFixture(t, func(s *balance.Settings, _ *FrontConfig) { s.SubscribeDiscovery = true })
-		w.Variables["one"], w.Variables["two"] = complete[:at], complete[at:]
-		w.Play(lines("wait 100ms", "p accept pool", "p expect hold_ms=1 HTTP/1.1", "p send {one}", "p send {two}", "p expect from=9&hold_ms=2000"))
-		if at+3 >= len(complete) && w.ready("s-1") {
-			t.Error("the change was not applied")
+	list := "{\n  \"index\": 9,\n  \"snapshot\": false,\n  \"endpoints\": [\n    {\n      \"name\": \"s-1\",\n      \"status\": \"Terminating\"\n    }\n  ]\n}\n"
+	response := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(list), list)
+	for at := 1; at < len(response); at += 3 {
+		fx := newFixture(t, func(s *balance.Settings, _ *FrontConfig) { s.SubscribeDiscovery = true })
+		fx.Variables["one"], fx.Variables["two"] = response[:at], response[at:]
+		fx.Play(lines("wait 100ms", "p accept pool", "p expect hold_ms=1 HTTP/1.1", "p send {one}", "p send {two}", "p expect from=9&hold_ms=2000"))
+		if at+3 >= len(response) && fx.ready("s-1") {
+			t.Error("s-1 listed as Terminating in a split answer: got ready, want not ready")
 		}
 	}
 }
 
-func (w *fixture) ready(name string) (is bool) {
-	w.Loop.Call(func() {
-		w.core.EachWorker(func(id balance.WorkerID, state balance.State, _ float64) {
-			is = is || w.discovery.NameOf(id) == name && state == balance.Ready
+// ready reports whether the core has a prep worker as ready.
+func (fx *fixture) ready(name string) (is bool) {
+	fx.Loop.Call(func() {
+		fx.core.EachWorker(func(id balance.WorkerID, state balance.State, _ float64) {
+			is = is || fx.discovery.NameOf(id) == name && state == balance.Ready
 		})
 	})
 	return is
 }
 
 // The version goes backwards, as when another instance answers or one has lost its state. Its changes
-// do not apply to the list here: the complete list is requested at once, and the watch continues from it.
+// do not apply to the present list: the complete list is requested immediately, and the watch continues from it.
 func TestDiscovery_versionGoesBackwards(t *testing.T) {
-	w := newFixture(t, func(s *balance.Settings, _ *FrontConfig) { s.SubscribeDiscovery = true })
-	w.Variables["same"] = answered(sameList)
-	w.Variables["older"] = answered(`{"index":3,"snapshot":false,"endpoints":[{"name":"s-2","status":"Gone"}]}`)
-	w.Variables["all"] = answered(`{"index":3,"snapshot":true,"endpoints":[{"name":"s-2","status":"Ready","address":"127.0.0.1:1"}]}`)
-	w.Play("wait 100ms\np accept pool\np expect hold_ms=1 HTTP/1.1\np send {same}\np expect from=8&hold_ms=2000\np send {older}\np expect from=0&hold_ms=1 HTTP/1.1")
-	if !w.ready("s-2") {
-		t.Error("a change of another list counts")
+	fx := newFixture(t, func(s *balance.Settings, _ *FrontConfig) { s.SubscribeDiscovery = true })
+	fx.Variables["same"] = listResponse(sameList)
+	fx.Variables["older"] = listResponse(`{"index":3,"snapshot":false,"endpoints":[{"name":"s-2","status":"Gone"}]}`)
+	fx.Variables["all"] = listResponse(`{"index":3,"snapshot":true,"endpoints":[{"name":"s-2","status":"Ready","address":"127.0.0.1:1"}]}`)
+	fx.Play("wait 100ms\np accept pool\np expect hold_ms=1 HTTP/1.1\np send {same}\np expect from=8&hold_ms=2000\np send {older}\np expect from=0&hold_ms=1 HTTP/1.1")
+	if !fx.ready("s-2") {
+		t.Error("changes of an older version were applied: s-2 is not ready")
 	}
-	w.Play("p send {all}\np expect from=3&hold_ms=2000")
-	if w.ready("s-1") || !w.ready("s-2") {
-		t.Error("the complete list does not count")
+	fx.Play("p send {all}\np expect from=3&hold_ms=2000")
+	if fx.ready("s-1") || !fx.ready("s-2") {
+		t.Errorf("after the complete list: s-1 ready %v, s-2 ready %v, want only s-2 ready", fx.ready("s-1"), fx.ready("s-2"))
 	}
 }
 
-// A call whose answer breaks off has failed: it is retried at once, and nothing of its answer counts.
+// A call whose answer breaks off has failed: it is retried immediately, and no part of its answer is applied.
 func TestDiscovery_listCutInTheMiddle(t *testing.T) {
-	w := newFixture(t, func(s *balance.Settings, _ *FrontConfig) { s.SubscribeDiscovery = true })
-	w.Variables["same"] = answered(sameList)
-	w.Play(`
+	fx := newFixture(t, func(s *balance.Settings, _ *FrontConfig) { s.SubscribeDiscovery = true })
+	fx.Variables["same"] = listResponse(sameList)
+	fx.Play(`
 		wait 100ms
 		p accept pool
 		p expect hold_ms=1 HTTP/1.1
@@ -104,106 +108,106 @@
 		q send {same}
 		q expect from=8&hold_ms=2000
 	`)
-	if !w.ready("s-1") {
-		t.Error("half a list counts")
+	if !fx.ready("s-1") {
+		t.Error("an incomplete list was applied: s-1 is not ready")
 	}
 }
 
-// The pool config goes down just as a prep worker begins to drain, and stays down for long: it
-// rejects calls, is silent, breaks off, or answers without an end. It may return right after any call,
-// which is lost too, and take 2 s to answer the next: no two calls are more than 4 s apart, so that the
-// change is known within 6 s of the return, whatever subscription time the settings allow.
+// The pool config fails just as a prep worker begins to drain, and stays down for long: it rejects
+// calls, is silent, breaks off answers, or does not end them. It may recover right after any call, which
+// is lost, and take 2 s to answer the next. For the change to be known within 6 s of the recovery, calls
+// must be at most 4 s apart, whatever subscription time the settings allow.
 func TestDiscovery_serviceDownDuringAChange(t *testing.T) {
-	const known, turn = 6 * time.Second, 2 * time.Second
-	for how, says := range map[string]string{"refuses": `{down}`, "is silent": "", "breaks off": `HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n{"index":9,"snap`,
+	const knownAfter, maxAnswerTime = 6 * time.Second, 2 * time.Second
+	for failure, response := range map[string]string{"refuses": `{down}`, "is silent": "", "breaks off": `HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n{"index":9,"snap`,
 		"never ends": `{stream}1\r\n{\r\n`} {
 		for _, down := range []time.Duration{1700 * time.Millisecond, 8 * time.Second, 60 * time.Second} {
-			w := newFixture(t, func(s *balance.Settings, _ *FrontConfig) {
+			fx := newFixture(t, func(s *balance.Settings, _ *FrontConfig) {
 				s.SubscribeDiscovery, s.Rules.SubscribeWithin, s.Balancers = true, 20*time.Second, 300
 			})
-			w.Variables["same"] = answered(sameList)
-			w.Variables["drains"] = answered(`{"index":9,"snapshot":false,"endpoints":[{"name":"s-1","status":"Terminating"}]}`)
-			w.Variables["down"] = `HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n`
-			seen := uint64(0) // calls that the node has made
+			fx.Variables["same"] = listResponse(sameList)
+			fx.Variables["drains"] = listResponse(`{"index":9,"snapshot":false,"endpoints":[{"name":"s-1","status":"Terminating"}]}`)
+			fx.Variables["down"] = `HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n`
+			callsSeen := uint64(0) // calls already accounted for
 			awaitCall := func(most time.Duration) (time.Duration, bool) {
-				span, made := w.AdvanceUntil(most, func() bool { return w.discovery.counts.Sent > seen })
-				seen++
-				return span, made
+				elapsed, made := fx.AdvanceUntil(most, func() bool { return fx.discovery.counts.Sent > callsSeen })
+				callsSeen++
+				return elapsed, made
 			}
 			if _, made := awaitCall(5 * time.Second); !made {
-				t.Fatal("no call was made")
+				t.Fatal("no call to the pool config within 5s of the start")
 			}
-			w.Play("p0 accept pool\np0 expect hold_ms=1 HTTP/1.1\np0 send {same}\np0 expect from=8&hold_ms=2000\np0 send {down}\np0 closed")
-			seen++ // the second one on the same connection
-			gone := time.Duration(0)
+			fx.Play("p0 accept pool\np0 expect hold_ms=1 HTTP/1.1\np0 send {same}\np0 expect from=8&hold_ms=2000\np0 send {down}\np0 closed")
+			callsSeen++ // the second call on the same connection
+			downSoFar := time.Duration(0)
 			for n := 1; ; n++ {
-				span, made := awaitCall(down + known)
-				if gone += span; !made || span > known-turn {
-					t.Fatalf("%s for %v: call %d comes %v after the one before it", how, down, n, span)
+				elapsed, made := awaitCall(down + knownAfter)
+				if downSoFar += elapsed; !made || elapsed > knownAfter-maxAnswerTime {
+					t.Fatalf("service %s for %v: call %d (made: %t) comes %v after the previous one, want at most %v", failure, down, n, made, elapsed, knownAfter-maxAnswerTime)
 				}
 				name := fmt.Sprint("p", n)
-				w.Play(name + " accept pool\n" + name + " expect from=8")
-				if gone >= down { // the first call after the return
-					w.Play(lines(name+" send {drains}", name+" expect from=9&hold_ms=2000"))
+				fx.Play(name + " accept pool\n" + name + " expect from=8")
+				if downSoFar >= down { // the first call after the recovery
+					fx.Play(lines(name+" send {drains}", name+" expect from=9&hold_ms=2000"))
 					break
 				}
-				if says != "" {
-					w.Play(name + " send " + says)
+				if response != "" {
+					fx.Play(name + " send " + response)
 				}
-				switch how {
+				switch failure {
 				case "breaks off":
-					w.Play(name + " close")
-					w.WaitUntil(func() bool { return w.discovery.watch == nil || w.discovery.counts.Sent > seen })
+					fx.Play(name + " close")
+					fx.WaitUntil(func() bool { return fx.discovery.watch == nil || fx.discovery.counts.Sent > callsSeen })
 				case "never ends":
-					w.WaitUntil(func() bool { return w.discovery.watch.headRead })
+					fx.WaitUntil(func() bool { return fx.discovery.watch.headRead })
 				case "refuses":
-					w.Play(name + " closed")
+					fx.Play(name + " closed")
 				}
 			}
-			if w.ready("s-1") {
-				t.Errorf("%s for %v: the change is not known", how, down)
+			if fx.ready("s-1") {
+				t.Errorf("service %s for %v: s-1 is still ready after the change", failure, down)
 			}
 		}
 	}
 }
 
-// Where lists are pushed the agent is watched from the start on and retried soon while it is
-// silent, and the node is healthy once the agent has answered.
+// If lists are pushed, the agent is watched from the start, and calls are repeated after a short
+// time while it is silent.
 func TestDiscovery_pushedList(t *testing.T) {
-	w := newFixture(t, nil)
-	w.Variables["drains"] = answered(`{"index":9,"snapshot":false,"endpoints":[{"name":"s-1","status":"Terminating"}]}`)
-	w.Variables["back"] = answered(`{"index":10,"snapshot":false,"endpoints":[{"name":"s-1","address":"127.0.0.1:9","status":"Ready"}]}`)
-	w.Loop.Call(func() {
-		w.discovery.config.Pushed = true
-		w.discovery.Start()
+	fx := newFixture(t, nil)
+	fx.Variables["drains"] = listResponse(`{"index":9,"snapshot":false,"endpoints":[{"name":"s-1","status":"Terminating"}]}`)
+	fx.Variables["back"] = listResponse(`{"index":10,"snapshot":false,"endpoints":[{"name":"s-1","address":"127.0.0.1:9","status":"Ready"}]}`)
+	fx.Loop.Call(func() {
+		fx.discovery.config.Pushed = true
+		fx.discovery.Start()
 	})
-	w.Play(`
+	fx.Play(`
 		p accept pool
 		p expect GET /v1/servers?from=7&hold_ms=1 HTTP/1.1
 		p send {drains}
 		p expect from=9&hold_ms=1000
 	`)
-	if w.ready("s-1") {
-		t.Error("the agent's list is not applied")
+	if fx.ready("s-1") {
+		t.Error("the agent listed s-1 as Terminating: got ready, want not ready")
 	}
-	w.Play(`
-		# The service is down: the agent says nothing.
+	fx.Play(`
+		# The service is down: the agent does not answer.
 		wait 1400ms
 		p closed
 		q accept pool
 		q expect from=9&hold_ms=1 HTTP/1.1
 		wait 400ms
 		q closed
-		# By now the next call has been made, 50 to 150 ms after the last one's end, and is not yet
-		# given up.
+		# By now the next call has been made, 50 to 150 ms after the end of the last one, and has not
+		# timed out.
 		wait 100ms
 		r accept pool
 		r expect from=9&hold_ms=1 HTTP/1.1
 		r send {back}
 		r expect from=10&hold_ms=1000
 	`)
-	if !w.ready("s-1") {
-		t.Error("the agent answers again and its list is not applied")
+	if !fx.ready("s-1") {
+		t.Error("the agent answers again and lists s-1 as Ready: got not ready, want ready")
 	}
 }
 
@@ -214,8 +218,8 @@
 	old := slog.Default()
 	slog.SetDefault(slog.New(slog.NewTextHandler(&log, nil)))
 	defer slog.SetDefault(old)
-	w := newFixture(t, func(s *balance.Settings, _ *FrontConfig) { s.SubscribeDiscovery = true })
-	w.Variables["spoilt"] = answered(`{"index":9,"snapshot":true,"endpoints":[` +
+	fx := newFixture(t, func(s *balance.Settings, _ *FrontConfig) { s.SubscribeDiscovery = true })
+	fx.Variables["invalid"] = listResponse(`{"index":9,"snapshot":true,"endpoints":[` +
 		`{"name":"s-1","address":"somewhere","status":"Ready"},` +
 		`{"name":"s-2","address":"127.0.0.1:9","status":"Ready"},` +
 		`{"name":"s-2","address":"127.0.0.1:10","status":"Terminating"},` +
@@ -224,26 +228,26 @@
 		`{"name":"s-4","address":"127.0.0.1:9","status":"Ready","since_ms":9e15},` +
 		`{"name":"s-5","address":"127.0.0.1:9","status":"Ready","since_ms":-1},` +
 		`{"name":"s-6","address":"127.0.0.1:9","status":"Ready"}]}`)
-	w.Play(`
+	fx.Play(`
 		wait 100ms
 		p accept pool
 		p expect hold_ms=1 HTTP/1.1
-		p send {spoilt}
+		p send {invalid}
 		p expect from=9&hold_ms=2000
 	`)
 	var names []string
-	var spoilt uint64
-	w.Loop.Call(func() {
-		w.core.EachWorker(func(id balance.WorkerID, _ balance.State, _ float64) { names = append(names, w.discovery.NameOf(id)) })
-		spoilt = w.discovery.RejectedEntries()
+	var rejected uint64
+	fx.Loop.Call(func() {
+		fx.core.EachWorker(func(id balance.WorkerID, _ balance.State, _ float64) { names = append(names, fx.discovery.NameOf(id)) })
+		rejected = fx.discovery.RejectedEntries()
 	})
-	if len(names) != 3 || !w.ready("s-1") || !w.ready("s-2") || !w.ready("s-6") || spoilt != 6 {
-		t.Errorf("listed %v, %d entries rejected", names, spoilt)
+	if len(names) != 3 || !fx.ready("s-1") || !fx.ready("s-2") || !fx.ready("s-6") || rejected != 6 {
+		t.Errorf("list with invalid entries: got workers %v, %d entries rejected, want s-1, s-2 and s-6 ready, 6 rejected", names, rejected)
 	}
 	for _, want := range []string{"entry=0 destination=s-1 fault=\"address:", "entry=2 destination=s-2 fault=\"name: comes twice", "entry=3 destination=\"\" fault=\"name: missing",
 		"entry=4 destination=s-3 fault=\"status:", "entry=5 destination=s-4 fault=\"since_ms: 9000000000000000 lies in the future", "entry=6 destination=s-5 fault=\"since_ms: -1"} {
 		if !strings.Contains(log.String(), want) {
-			t.Errorf("no line has %q", want)
+			t.Errorf("no log line contains %q; log: %s", want, log.String())
 		}
 	}
 }
