--- a/coord/seglog/encoding.go
+++ b/coord/seglog/encoding.go
@@ -9,11 +9,11 @@
 	"ospreybend/coord/consensus"
 )
 
-// errRecordTooLong reports an entry or a snapshot beyond maxRecordBytes.
-var errRecordTooLong = errors.New("seglog: a record is too long")
+// errRecordTooLong means that an entry or a snapshot exceeds maxRecordBytes.
+var errRecordTooLong = errors.New("seglog: the entry or snapshot is too long")
 
-// The stored types mirror the avro schemas below. Avro has only signed integers, so that 64-bit values are stored with the
-// same bits.
+// The stored types mirror the Avro schemas below. Avro has only signed integers, so uint64 values are stored as int64 values
+// with the same bits.
 
 type storedMember struct {
 	ID      int64  `avro:"id"`
@@ -35,7 +35,7 @@
 	Commit int64 `avro:"commit"`
 }
 
-type storedSnapshotRecord struct {
+type storedSnapshot struct {
 	Index        int64           `avro:"index"`
 	Term         int64           `avro:"term"`
 	Members      []storedMember  `avro:"members"`
@@ -59,7 +59,7 @@
 		{"name":"firstSegment","type":"long"}]}`
 )
 
-// Schemas and codec are made at their first use, so that programs without a log do not pay for them at startup.
+// Schemas and codec are built on first use, so that processes without a log do not pay for them at startup.
 var (
 	entrySchema     = lazySchema(entrySchemaText)
 	hardStateSchema = lazySchema(hardStateSchemaText)
@@ -67,28 +67,28 @@
 	codec           = sync.OnceValue(func() avro.API { return avro.Config{MaxByteSliceSize: maxRecordBytes}.Freeze() })
 )
 
-// lazySchema returns a function that parses the schema at its first call.
+// lazySchema returns a function that parses the schema on its first call.
 func lazySchema(text string) func() avro.Schema {
 	return sync.OnceValue(func() avro.Schema { return parseSchema(text) })
 }
 
-// parseSchema parses a schema with a cache of its own, so that record names may occur in several schemas.
+// parseSchema parses a schema with a separate cache, so that several schemas may define a record of the same name.
 func parseSchema(text string) avro.Schema {
 	schema, err := avro.ParseWithCache(text, "", &avro.SchemaCache{})
 	if err != nil {
-		panic(err) // an invalid constant in this file
+		panic(err) // a schema constant in this file is invalid
 	}
 	return schema
 }
 
-// encodeEntry returns the body of an entry record.
+// encodeEntry encodes the body of an entry record.
 func encodeEntry(entry *consensus.Entry) ([]byte, error) {
 	return codec().Marshal(entrySchema(), storedEntry{
 		Term:    int64(entry.Term),
 		Index:   int64(entry.Index),
 		Kind:    int(entry.Kind),
 		Data:    entry.Data,
-		Members: encodeMembers(entry.Members),
+		Members: toStoredMembers(entry.Members),
 	})
 }
 
@@ -103,11 +103,11 @@
 		Index:   uint64(stored.Index),
 		Kind:    consensus.EntryKind(stored.Kind),
 		Data:    stored.Data,
-		Members: decodeMembers(stored.Members),
+		Members: fromStoredMembers(stored.Members),
 	}, nil
 }
 
-// encodeHardState returns the body of a hard state record.
+// encodeHardState encodes the body of a hard state record.
 func encodeHardState(state consensus.HardState) ([]byte, error) {
 	return codec().Marshal(hardStateSchema(), toStoredHardState(state))
 }
@@ -127,9 +127,10 @@
 	return consensus.HardState{Term: uint64(stored.Term), Vote: consensus.MemberID(stored.Vote), Commit: uint64(stored.Commit)}
 }
 
-// encodeMembers converts members to their stored form. The mark of a retired ID is stored as a learner without an address,
-// which no member is. Program versions older than these marks take it for an unreachable member, and remove it after a time.
-func encodeMembers(members []consensus.Member) []storedMember {
+// toStoredMembers converts members to their stored form. A retired ID is stored as a learner without an address; actual members
+// always have an address. Program versions that predate retired IDs treat it as an unreachable member and remove it after a
+// while.
+func toStoredMembers(members []consensus.Member) []storedMember {
 	stored := make([]storedMember, len(members))
 	for i, member := range members {
 		if member.Retired {
@@ -141,8 +142,8 @@
 	return stored
 }
 
-// decodeMembers converts members from their stored form. It returns nil for an empty list.
-func decodeMembers(stored []storedMember) []consensus.Member {
+// fromStoredMembers converts members from their stored form. It returns nil for an empty list.
+func fromStoredMembers(stored []storedMember) []consensus.Member {
 	if len(stored) == 0 {
 		return nil
 	}
--- a/coord/seglog/guards.go
+++ b/coord/seglog/guards.go
@@ -1,32 +1,35 @@
 package seglog
 
-// Guard names one check, or one ordering of steps, of the log. Tests omit guards one by one to show that a violation is then
-// detected; a running system enforces all of them.
+// Guard identifies one safety rule of the log: a check or a required order of steps. A production log enforces all guards.
+// Tests omit one guard at a time to verify that the test suite then detects a violation.
 type Guard string
 
-// The guards that tests can omit.
+// Guards that tests can omit.
 const (
-	// GuardSegmentNameSynced requires that the name of a new segment is durable before its content counts as durable.
+	// GuardSegmentNameSynced requires that the directory entry of a new segment is durable before its records count
+	// as durable.
 	GuardSegmentNameSynced Guard = "name-synced"
-	// GuardFailedWriteTruncated requires that the remains of a failed write are truncated before the next write.
+	// GuardFailedWriteTruncated requires that leftovers of a failed write are truncated before the next write.
 	GuardFailedWriteTruncated Guard = "failed-write-cut"
-	// GuardSegmentOrder requires that a segment counts only after the one that it was started after.
+	// GuardSegmentOrder requires that a segment is accepted only if it continues the segment before it.
 	GuardSegmentOrder Guard = "segment-order"
-	// GuardAllSegments requires that a log whose beginning or middle is missing or corrupt is rejected.
+	// GuardAllSegments requires that Open rejects a log in which any segment but the last is missing or corrupt.
 	GuardAllSegments Guard = "all-segments"
-	// GuardObsoleteSegmentsIgnored requires that segments which a snapshot replaces are ignored.
+	// GuardObsoleteSegmentsIgnored requires that recovery ignores segments that the snapshot has replaced.
 	GuardObsoleteSegmentsIgnored Guard = "segments-void"
-	// GuardSnapshotRenamedWhenComplete requires that a snapshot gets its name only after its content is durable.
+	// GuardSnapshotRenamedWhenComplete requires that a snapshot is renamed to its final name only after its content is
+	// durable.
 	GuardSnapshotRenamedWhenComplete Guard = "snapshot-whole"
-	// GuardSnapshotNameSynced requires that what a snapshot replaces is removed only after the snapshot's name is durable.
+	// GuardSnapshotNameSynced requires that the files that a snapshot replaces are removed only after its directory entry is
+	// durable.
 	GuardSnapshotNameSynced Guard = "snapshot-named"
-	// GuardSnapshotHardState requires that a snapshot contains the term and vote of its moment.
+	// GuardSnapshotHardState requires that a snapshot contains the hard state at the time of the snapshot.
 	GuardSnapshotHardState Guard = "snapshot-vote"
-	// GuardRecoverySynced requires that recovery makes what it has read durable before that is used.
+	// GuardRecoverySynced requires that recovery syncs the state that it has read before returning it.
 	GuardRecoverySynced Guard = "recovery-synced"
 )
 
-// Guards returns all guards that tests can omit.
+// Guards returns all guards.
 func Guards() []Guard {
 	return []Guard{
 		GuardSegmentNameSynced, GuardFailedWriteTruncated, GuardSegmentOrder, GuardAllSegments, GuardObsoleteSegmentsIgnored,
@@ -34,5 +37,5 @@
 	}
 }
 
-// enforces reports whether the log enforces a guard.
+// enforces reports whether the log enforces the guard, that is, whether Options.OmitGuards does not contain it.
 func (l *Log) enforces(guard Guard) bool { return !l.omittedGuards[guard] }
--- a/coord/seglog/log.go
+++ b/coord/seglog/log.go
@@ -8,15 +8,16 @@
 	"ospreybend/coord/consensus"
 )
 
-// DefaultSegmentBytes is the size at which a segment is sealed and a new one is started.
+// DefaultSegmentBytes is the default of Options.SegmentBytes: a segment of this size or more is sealed, and the next write
+// starts a new one.
 const DefaultSegmentBytes = 1 << 20
 
 // Options configures a Log.
 type Options struct {
-	FileSystem   FileSystem // nil: OSFileSystem
-	Directory    string     // used by this log alone; created if it is missing
-	SegmentBytes int64      // 0: DefaultSegmentBytes
-	OmitGuards   []Guard    // guards that are not enforced; only tests set it
+	FileSystem   FileSystem // default: OSFileSystem
+	Directory    string     // must not be shared with other logs; created if it is missing
+	SegmentBytes int64      // default: DefaultSegmentBytes
+	OmitGuards   []Guard    // guards that are not enforced; for tests only
 }
 
 // Log is the durable state of one replica group. It is not safe for concurrent use.
@@ -28,28 +29,29 @@
 	closed        bool
 
 	// Files.
-	sealed        []segment      // complete and durable, oldest first
-	active        *activeSegment // nil: the next write starts a segment
+	sealed        []segment      // complete and durable; oldest first
+	active        *activeSegment // nil if the next write starts a segment
 	nextSegment   uint64         // sequence number of the next segment
 	snapshot      snapshotFile
-	obsoleteFiles []string // names of files to remove
+	obsoleteFiles []string // names of files that remain to be removed
 
 	// State after the last durable record.
 	hardState consensus.HardState
-	lastIndex uint64 // of the last entry, or of the snapshot
+	lastIndex uint64 // index of the last entry, or of the snapshot if no entry follows it
 }
 
-// Errors of a log. All others are those of the file system: the call may then be retried with the same requests or with more
-// appended, and nothing of it counts as durable until a call succeeds.
+// Errors of a log besides FormatError. Except for an entry or snapshot that is too long, all other errors come from the file
+// system. The call may then be retried with the same requests, optionally followed by more; none of them counts as durable
+// until a call succeeds.
 var (
-	// ErrCorrupt means that a durable file cannot be read. The member's state is lost: it must rejoin the group under a new
-	// member ID with an empty directory.
+	// ErrCorrupt means that a durable file is missing or its content is invalid. The state of the member is lost, so it must
+	// rejoin its group under a new member ID and with an empty directory.
 	ErrCorrupt = errors.New("seglog: a durable file is corrupt")
-	// ErrClosed means that the log is closed.
+	// ErrClosed is returned by calls on a closed log.
 	ErrClosed = errors.New("seglog: the log is closed")
 )
 
-// FormatError rejects a directory with files of another format version. Nothing in the directory has been changed.
+// FormatError reports a file of an unsupported format version. Nothing in the directory has been changed.
 type FormatError struct {
 	File             string // name of the file
 	Found, Supported uint32 // format versions
@@ -57,12 +59,11 @@
 
 // Error names the file and both format versions.
 func (e FormatError) Error() string {
-	return fmt.Sprintf("seglog: %s has format %d, this program reads format %d", e.File, e.Found, e.Supported)
+	return fmt.Sprintf("seglog: %s has format version %d, but this program supports version %d", e.File, e.Found, e.Supported)
 }
 
-// Save makes what the batch requests durable, in order. It syncs once if the batch contains no snapshot and starts no segment.
-// After an error any prefix of the batch may be on disk; the caller must save the same requests again, first in the next
-// batch.
+// Save durably stores the requests of the batch, in order. It syncs once if the batch contains no snapshot and starts no new
+// segment. After an error, any prefix of the batch may be on disk, and the next batch must begin with the same requests.
 func (l *Log) Save(batch []*consensus.PersistRequest) error {
 	if l.closed {
 		return ErrClosed
@@ -80,28 +81,28 @@
 	return l.appendBatch(rest)
 }
 
-// saveSnapshot stores the last snapshot of the batch, if there is one, with the hard state that is in force after it, and
-// returns the requests that follow the snapshot.
+// saveSnapshot stores the last snapshot of the batch, if any, together with the hard state as of that request. It returns what
+// remains to be written: the entries of that request and the requests after it.
 func (l *Log) saveSnapshot(batch []*consensus.PersistRequest) ([]*consensus.PersistRequest, error) {
-	position := lastSnapshot(batch)
-	if position < 0 {
+	last := lastSnapshot(batch)
+	if last < 0 {
 		return batch, nil
 	}
 	hardState := l.hardState
-	for _, request := range batch[:position+1] {
+	for _, request := range batch[:last+1] {
 		if request.HardState != nil {
 			hardState = *request.HardState
 		}
 	}
-	received := batch[position]
-	if err := l.resetToSnapshot(*received.Snapshot, hardState); err != nil {
+	snapshotRequest := batch[last]
+	if err := l.resetToSnapshot(*snapshotRequest.Snapshot, hardState); err != nil {
 		return nil, err
 	}
-	after := &consensus.PersistRequest{Sequence: received.Sequence, Entries: received.Entries}
-	return append([]*consensus.PersistRequest{after}, batch[position+1:]...), nil
+	remainder := &consensus.PersistRequest{Sequence: snapshotRequest.Sequence, Entries: snapshotRequest.Entries}
+	return append([]*consensus.PersistRequest{remainder}, batch[last+1:]...), nil
 }
 
-// lastSnapshot returns the position of the last request with a snapshot, or -1.
+// lastSnapshot returns the position of the last request with a snapshot, or -1 if there is none.
 func lastSnapshot(batch []*consensus.PersistRequest) int {
 	for i := len(batch) - 1; i >= 0; i-- {
 		if batch[i].Snapshot != nil {
@@ -121,7 +122,7 @@
 	return false
 }
 
-// resetToSnapshot stores a snapshot that replaces the whole log, and discards all segments.
+// resetToSnapshot stores a snapshot that replaces the whole log and discards all segments.
 func (l *Log) resetToSnapshot(snapshot consensus.Snapshot, hardState consensus.HardState) error {
 	if err := l.writeSnapshot(snapshot, hardState, l.nextSegment); err != nil {
 		return err
@@ -133,8 +134,8 @@
 	return nil
 }
 
-// Compact stores a snapshot of the local state machine and removes the segments that contain nothing after it. A snapshot
-// that is not newer than the stored one changes nothing.
+// Compact stores a snapshot of the local state machine and removes the sealed segments that contain no entry after it. It
+// ignores a snapshot that is not newer than the stored one.
 func (l *Log) Compact(snapshot consensus.Snapshot) error {
 	if l.closed {
 		return ErrClosed
@@ -161,7 +162,8 @@
 	return nil
 }
 
-// firstRequiredSegment returns the sequence number of the segment that follows the covered sealed ones.
+// firstRequiredSegment returns the sequence number of the first segment after the covered ones, which are the oldest
+// coveredSegments sealed segments.
 func (l *Log) firstRequiredSegment(coveredSegments int) uint64 {
 	if coveredSegments < len(l.sealed) {
 		return l.sealed[coveredSegments].sequence
@@ -172,7 +174,7 @@
 	return l.nextSegment
 }
 
-// discardSegments marks the first count sealed segments, and the active one if requested, for removal.
+// discardSegments marks the oldest count sealed segments, and optionally the active one, for removal.
 func (l *Log) discardSegments(count int, includeActive bool) {
 	for _, discarded := range l.sealed[:count] {
 		l.obsoleteFiles = append(l.obsoleteFiles, discarded.name)
@@ -186,8 +188,8 @@
 	l.active = nil
 }
 
-// removeObsoleteFiles removes the files that are no longer required. What cannot be removed is retried at the next call and
-// after a restart. The directory is not synced: a file that reappears is known to be obsolete.
+// removeObsoleteFiles removes the files that are no longer required. If that fails for a file, it is tried again at the next
+// call and after a restart. The directory need not be synced: recovery recognizes obsolete files that reappear.
 func (l *Log) removeObsoleteFiles() {
 	var remaining []string
 	for _, name := range l.obsoleteFiles {
@@ -199,10 +201,10 @@
 	l.obsoleteFiles = remaining
 }
 
-// DiskBytes returns the size of the segments and of the snapshot.
+// DiskBytes returns the total size of the segments and the snapshot.
 func (l *Log) DiskBytes() int64 { return l.LogBytes() + l.snapshot.size }
 
-// LogBytes returns the size of the segments.
+// LogBytes returns the total size of the segments.
 func (l *Log) LogBytes() int64 {
 	var total int64
 	for _, sealed := range l.sealed {
@@ -214,7 +216,7 @@
 	return total
 }
 
-// Close closes the active segment's file. Everything that was reported as durable is durable already.
+// Close closes the file of the active segment. It needs no sync: everything reported as durable has been synced.
 func (l *Log) Close() error {
 	if l.closed || l.active == nil {
 		l.closed = true
--- a/coord/seglog/member_id.go
+++ b/coord/seglog/member_id.go
@@ -9,18 +9,18 @@
 	"ospreybend/coord/consensus"
 )
 
-// The file of the member ID.
+// Names and layout of the member ID file.
 const (
 	memberFileName      = "member"
 	memberTemporaryName = "member.temporary"
-	// Content: preamble, ID, checksum.
-	memberChecksumOffset = preambleBytes + numberBytes
+	// Layout: preamble, ID, checksum of both.
+	memberChecksumOffset = preambleBytes + uint64Bytes
 	memberFileBytes      = memberChecksumOffset + checksumBytes
 )
 
-// LoadOrCreateMemberID reads the member ID of this disk from the directory. If there is none, it makes the result of newID
-// durable and returns that; created reports which. The directory is created if it is missing. A nil file system stands for
-// OSFileSystem. Errors: FormatError, ErrCorrupt and those of the file system.
+// LoadOrCreateMemberID reads the member ID of this disk from the directory, which it creates if it is missing. If there is no
+// ID, it durably stores the result of newID, returns it and sets created. A nil file system means OSFileSystem. Errors are
+// FormatError, ErrCorrupt and those of the file system.
 func LoadOrCreateMemberID(
 	fileSystem FileSystem, directory string, newID func() consensus.MemberID,
 ) (id consensus.MemberID, created bool, err error) {
@@ -42,12 +42,12 @@
 	if err != nil {
 		return 0, false, err
 	}
-	// A process that was killed may have left the name without syncing the directory.
+	// A previous process may have been killed after it renamed the file and before it synced the directory.
 	return id, false, fileSystem.SyncDirectory(directory)
 }
 
-// RemoveMemberID durably removes the member ID of a disk. The disk then counts as lost: RemoveOrphanedReplicas removes its
-// replicas, and LoadOrCreateMemberID creates a new ID.
+// RemoveMemberID durably removes the member ID of a disk, which declares the disk lost: RemoveOrphanedReplicas then removes its
+// replicas, and LoadOrCreateMemberID creates a new ID. A nil file system means OSFileSystem.
 func RemoveMemberID(fileSystem FileSystem, directory string) error {
 	if fileSystem == nil {
 		fileSystem = OSFileSystem{}
@@ -58,9 +58,10 @@
 	return fileSystem.SyncDirectory(directory)
 }
 
-// RemoveOrphanedReplicas removes the replicas, given by their directories, of a disk whose member ID is missing or corrupt,
-// and a corrupt ID: nobody knows any more under which ID they voted and acknowledged entries. lost reports whether anything
-// was removed. It must be called before LoadOrCreateMemberID. Errors: FormatError and those of the file system.
+// RemoveOrphanedReplicas removes all files in the given replica directories, and a corrupt member ID file, if the member ID of
+// the disk is missing or corrupt. Such replicas must not be used: the ID under which they voted and acknowledged entries is
+// unknown. lost reports whether anything was removed. RemoveOrphanedReplicas must be called before LoadOrCreateMemberID. A nil
+// file system means OSFileSystem. Errors are FormatError and those of the file system.
 func RemoveOrphanedReplicas(fileSystem FileSystem, directory string, replicas []string) (lost bool, err error) {
 	if fileSystem == nil {
 		fileSystem = OSFileSystem{}
@@ -88,7 +89,7 @@
 	return lost, nil
 }
 
-// removeAllFiles removes all files of a directory, which may be missing, and reports whether there were any.
+// removeAllFiles removes all files in a directory and reports whether there were any. The directory may be missing.
 func removeAllFiles(fileSystem FileSystem, directory string) (removed bool, err error) {
 	files, err := fileSystem.List(directory)
 	if isNotExist(err) || (err == nil && len(files) == 0) {
@@ -105,24 +106,25 @@
 	return true, fileSystem.SyncDirectory(directory)
 }
 
-// encodeMemberID returns the content of the member ID's file.
+// encodeMemberID encodes the content of the member ID file.
 func encodeMemberID(id consensus.MemberID) []byte {
 	data := appendPreamble(nil, memberMagic)
 	data = binary.LittleEndian.AppendUint64(data, uint64(id))
 	return binary.LittleEndian.AppendUint32(data, checksum(0, data))
 }
 
-// decodeMemberID decodes the member ID's file. Errors: FormatError and ErrCorrupt.
+// decodeMemberID decodes the content of the member ID file. Errors are FormatError and ErrCorrupt.
 func decodeMemberID(data []byte) (consensus.MemberID, error) {
 	ok, err := checkPreamble(memberFileName, data, memberMagic)
 	if err != nil {
 		return 0, err
 	}
 	if !ok || len(data) != memberFileBytes {
-		return 0, fmt.Errorf("%w: %s", ErrCorrupt, memberFileName)
+		return 0, fmt.Errorf("%w: %s: the preamble is invalid or the size of %d bytes is not %d",
+			ErrCorrupt, memberFileName, len(data), memberFileBytes)
 	}
 	if binary.LittleEndian.Uint32(data[memberChecksumOffset:]) != checksum(0, data[:memberChecksumOffset]) {
-		return 0, fmt.Errorf("%w: %s", ErrCorrupt, memberFileName)
+		return 0, fmt.Errorf("%w: %s: checksum mismatch", ErrCorrupt, memberFileName)
 	}
 	return consensus.MemberID(binary.LittleEndian.Uint64(data[preambleBytes:])), nil
 }
--- a/coord/seglog/os_file_system.go
+++ b/coord/seglog/os_file_system.go
@@ -12,7 +12,7 @@
 	fileMode      = 0o644
 )
 
-// OSFileSystem is the operating system's file system.
+// OSFileSystem implements FileSystem with the files of the operating system.
 type OSFileSystem struct{}
 
 // osFile is an open file of OSFileSystem.
@@ -31,7 +31,7 @@
 func (f osFile) Sync() error  { return f.file.Sync() }
 func (f osFile) Close() error { return f.file.Close() }
 
-// MakeDirectory creates a directory and its missing parents, and syncs the parent of each one created.
+// MakeDirectory creates a directory and its missing parents, and syncs the parent of each created directory.
 func (s OSFileSystem) MakeDirectory(directory string) error {
 	info, err := os.Stat(directory)
 	if err == nil && info.IsDir() {
@@ -49,7 +49,7 @@
 	return s.SyncDirectory(parent)
 }
 
-// Create creates an empty file, or truncates the existing one.
+// Create creates an empty file or truncates an existing one.
 func (OSFileSystem) Create(path string) (File, error) {
 	file, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE|os.O_TRUNC, fileMode)
 	if err != nil {
@@ -73,13 +73,13 @@
 // ReadFile returns the content of a file.
 func (OSFileSystem) ReadFile(path string) ([]byte, error) { return os.ReadFile(path) }
 
-// Rename renames a file and replaces the target if that exists.
+// Rename renames a file, replacing an existing target.
 func (OSFileSystem) Rename(from, to string) error { return os.Rename(from, to) }
 
 // Remove removes a file.
 func (OSFileSystem) Remove(path string) error { return os.Remove(path) }
 
-// List returns the regular files of a directory.
+// List returns the regular files in a directory.
 func (OSFileSystem) List(directory string) ([]FileInfo, error) {
 	entries, err := os.ReadDir(directory)
 	if err != nil {
@@ -99,7 +99,7 @@
 	return files, nil
 }
 
-// SyncDirectory syncs the directory itself, that is, the names in it.
+// SyncDirectory syncs the entries of a directory, not the content of its files.
 func (OSFileSystem) SyncDirectory(directory string) error {
 	file, err := os.Open(directory)
 	if err != nil {
--- a/coord/seglog/record.go
+++ b/coord/seglog/record.go
@@ -8,10 +8,10 @@
 	"ospreybend/coord/consensus"
 )
 
-// FormatVersion is the version of the format of all files that this package writes.
+// FormatVersion is the format version of all files that this package writes.
 const FormatVersion uint32 = 1
 
-// Magic numbers: the first bytes of each kind of file.
+// Magic numbers at the beginning of each kind of file.
 const (
 	segmentMagic  = "OBSG"
 	snapshotMagic = "OBSS"
@@ -23,31 +23,31 @@
 	magicBytes        = 4
 	versionBytes      = 4
 	checksumBytes     = 4 // CRC-32C
-	numberBytes       = 8 // sequence number, index, length of a snapshot or member ID
+	uint64Bytes       = 8 // sequence number, index, length of a snapshot, member ID
 	recordLengthBytes = 4
 
-	// Preamble of each file: magic number, format version, checksum of both.
+	// Preamble of every file: magic number, format version, checksum of both.
 	preambleChecksumOffset = magicBytes + versionBytes
 	preambleBytes          = preambleChecksumOffset + checksumBytes
 
-	// Header of a segment: preamble, sequence number, index after the last entry when the segment was started, checksum of the
+	// Header of a segment: preamble, sequence number, index after the last entry when the header was written, checksum of the
 	// last record of the previous segment, checksum of the header.
-	firstIndexOffset       = preambleBytes + numberBytes
-	previousChecksumOffset = firstIndexOffset + numberBytes
+	firstIndexOffset       = preambleBytes + uint64Bytes
+	previousChecksumOffset = firstIndexOffset + uint64Bytes
 	headerChecksumOffset   = previousChecksumOffset + checksumBytes
 	segmentHeaderBytes     = headerChecksumOffset + checksumBytes
 
-	// Prefix of a record: length of kind and body, checksum. Kind and body follow.
+	// Prefix of a record: length of kind and body, checksum. The kind (one byte) and the body follow.
 	recordChecksumOffset = recordLengthBytes
 	recordPrefixBytes    = recordChecksumOffset + checksumBytes
-	maxRecordBytes       = 1 << 30 // bound of the length of kind and body
+	maxRecordBytes       = 1 << 30 // maximum length of kind and body
 
-	// Header of a snapshot: preamble, length of the body, checksum. The body follows.
-	snapshotChecksumOffset = preambleBytes + numberBytes
+	// Header of a snapshot: preamble, length of the body, checksum of length and body. The body follows.
+	snapshotChecksumOffset = preambleBytes + uint64Bytes
 	snapshotHeaderBytes    = snapshotChecksumOffset + checksumBytes
 )
 
-// recordKind determines what the body of a record contains. Its values are stored.
+// recordKind determines what the body of a record contains. Its values are part of the file format.
 type recordKind byte
 
 const (
@@ -55,13 +55,13 @@
 	recordHardState
 )
 
-// castagnoli is the table of CRC-32C, made at its first use like the schemas.
-var castagnoli = sync.OnceValue(func() *crc32.Table { return crc32.MakeTable(crc32.Castagnoli) })
+// castagnoliTable returns the table of CRC-32C, which is built on first use like the schemas.
+var castagnoliTable = sync.OnceValue(func() *crc32.Table { return crc32.MakeTable(crc32.Castagnoli) })
 
-// checksum continues a CRC-32C with more data; 0 starts one.
-func checksum(sum uint32, data []byte) uint32 { return crc32.Update(sum, castagnoli(), data) }
+// checksum extends the CRC-32C sum by more data. The sum of no data is 0.
+func checksum(sum uint32, data []byte) uint32 { return crc32.Update(sum, castagnoliTable(), data) }
 
-// appendPreamble appends the magic number, the format version and the checksum of both.
+// appendPreamble appends a preamble with the magic number to data.
 func appendPreamble(data []byte, magic string) []byte {
 	start := len(data)
 	data = append(data, magic...)
@@ -69,14 +69,14 @@
 	return binary.LittleEndian.AppendUint32(data, checksum(0, data[start:]))
 }
 
-// checkPreamble reports whether the data starts with an intact preamble with the magic number. An intact one with another
-// format version gives a FormatError.
+// checkPreamble reports whether data starts with an intact preamble with the magic number. If the preamble is intact but has
+// another format version, the error is a FormatError for the file called name.
 func checkPreamble(name string, data []byte, magic string) (ok bool, err error) {
 	if len(data) < preambleBytes || string(data[:magicBytes]) != magic {
 		return false, nil
 	}
-	check := binary.LittleEndian.Uint32(data[preambleChecksumOffset:])
-	if check != checksum(0, data[:preambleChecksumOffset]) {
+	storedChecksum := binary.LittleEndian.Uint32(data[preambleChecksumOffset:])
+	if storedChecksum != checksum(0, data[:preambleChecksumOffset]) {
 		return false, nil
 	}
 	if found := binary.LittleEndian.Uint32(data[magicBytes:]); found != FormatVersion {
@@ -85,14 +85,14 @@
 	return true, nil
 }
 
-// recordWriter encodes records to a buffer. lastChecksum is the checksum of the last one.
+// recordWriter encodes a segment header and records into a buffer.
 type recordWriter struct {
 	data         []byte
-	lastChecksum uint32
-	err          error // the first error; later calls do nothing
+	lastChecksum uint32 // checksum of the last record, or of the header if there is none
+	err          error  // first error; once set, further records are ignored
 }
 
-// writeHeader appends a segment's header. Its checksum starts the chain of the records' checksums.
+// writeHeader appends the header of a segment. Its checksum starts the checksum chain of the records.
 func (w *recordWriter) writeHeader(sequence, firstIndex uint64, previous uint32) {
 	w.data = appendPreamble(w.data, segmentMagic)
 	w.data = binary.LittleEndian.AppendUint64(w.data, sequence)
@@ -114,7 +114,7 @@
 	w.writeRecord(recordHardState, body, err)
 }
 
-// writeRecord appends a record, unless err or an earlier error is set.
+// writeRecord appends a record, unless encoding its body failed with err or an earlier record failed.
 func (w *recordWriter) writeRecord(kind recordKind, body []byte, err error) {
 	if w.err != nil {
 		return
@@ -128,14 +128,15 @@
 	}
 	start := len(w.data)
 	w.data = binary.LittleEndian.AppendUint32(w.data, uint32(1+len(body)))
-	w.data = binary.LittleEndian.AppendUint32(w.data, 0) // the checksum, set below
+	w.data = binary.LittleEndian.AppendUint32(w.data, 0) // checksum; set below
 	w.data = append(w.data, byte(kind))
 	w.data = append(w.data, body...)
 	w.lastChecksum = recordChecksum(w.lastChecksum, w.data[start:])
 	binary.LittleEndian.PutUint32(w.data[start+recordChecksumOffset:], w.lastChecksum)
 }
 
-// recordChecksum computes a record's checksum from that of the previous one and the record's length, kind and body.
+// recordChecksum computes the checksum of a record from sum, the checksum of the previous record, and from its own length, kind
+// and body.
 func recordChecksum(sum uint32, record []byte) uint32 {
 	return checksum(checksum(sum, record[:recordLengthBytes]), record[recordPrefixBytes:])
 }
@@ -143,19 +144,20 @@
 // recordReader iterates over the records of a segment.
 type recordReader struct {
 	data             []byte
-	offset           int // after the last accepted record
-	lastChecksum     uint32
+	offset           int    // end of the last accepted record, or of the header
+	lastChecksum     uint32 // checksum of the last accepted record, or of the header
 	previousChecksum uint32 // checksum of the last record of the previous segment
-	firstIndex       uint64 // index after the last entry when the segment was started
+	firstIndex       uint64 // index after the last entry when the header was written
 }
 
-// newRecordReader checks the segment's header. ok is false if it is missing, corrupt or of another segment.
+// newRecordReader checks the header of a segment and returns a reader at its first record. ok is false if the header is
+// incomplete, corrupt or of a segment with another sequence number.
 func newRecordReader(data []byte, sequence uint64) (reader *recordReader, ok bool) {
 	if len(data) < segmentHeaderBytes {
 		return nil, false
 	}
-	sum := checksum(0, data[:headerChecksumOffset])
-	if sum != binary.LittleEndian.Uint32(data[headerChecksumOffset:]) {
+	headerChecksum := checksum(0, data[:headerChecksumOffset])
+	if headerChecksum != binary.LittleEndian.Uint32(data[headerChecksumOffset:]) {
 		return nil, false
 	}
 	if binary.LittleEndian.Uint64(data[preambleBytes:]) != sequence {
@@ -164,14 +166,14 @@
 	return &recordReader{
 		data:             data,
 		offset:           segmentHeaderBytes,
-		lastChecksum:     sum,
+		lastChecksum:     headerChecksum,
 		previousChecksum: binary.LittleEndian.Uint32(data[previousChecksumOffset:]),
 		firstIndex:       binary.LittleEndian.Uint64(data[firstIndexOffset:]),
 	}, true
 }
 
-// next returns the next record without advancing. ok is false at the end of the data and at a record that is incomplete or
-// corrupt.
+// next returns the next record without advancing past it. ok is false at the end of the data and at an incomplete or corrupt
+// record.
 func (r *recordReader) next() (kind recordKind, body []byte, ok bool) {
 	rest := r.data[r.offset:]
 	if len(rest) <= recordPrefixBytes {
@@ -188,7 +190,7 @@
 	return recordKind(record[recordPrefixBytes]), record[recordPrefixBytes+1:], true
 }
 
-// accept advances past the record that next returned.
+// accept advances past the record that next returned last.
 func (r *recordReader) accept() {
 	length := int(binary.LittleEndian.Uint32(r.data[r.offset:]))
 	r.lastChecksum = binary.LittleEndian.Uint32(r.data[r.offset+recordChecksumOffset:])
--- a/coord/seglog/recovery.go
+++ b/coord/seglog/recovery.go
@@ -9,8 +9,8 @@
 	"ospreybend/coord/consensus"
 )
 
-// Open recovers a directory, makes what it has read durable, and returns that state with the log, ready to be appended to.
-// Errors: FormatError, ErrCorrupt and those of the file system; Open may be called again later.
+// Open recovers the log in a directory, makes the recovered state durable, and returns both; the log is ready for Save. Errors
+// are FormatError, ErrCorrupt and those of the file system. Open may be called again after an error.
 func Open(options Options) (*Log, consensus.PersistedState, error) {
 	log := newLog(options)
 	if err := log.fileSystem.MakeDirectory(log.directory); err != nil {
@@ -23,10 +23,10 @@
 	if err := recovery.makeDurable(); err != nil {
 		return nil, consensus.PersistedState{}, err
 	}
-	return log, recovery.stored, nil
+	return log, recovery.state, nil
 }
 
-// newLog returns the log of an empty directory.
+// newLog returns a log with the options and without any files.
 func newLog(options Options) *Log {
 	log := &Log{
 		fileSystem:   options.FileSystem,
@@ -47,25 +47,25 @@
 	return log
 }
 
-// scannedSegment is a segment's file with its content and what was recovered from it.
+// scannedSegment is a segment that recovery has read.
 type scannedSegment struct {
 	segment
 	data         []byte
-	validBytes   int    // size up to the end of the last valid record
-	lastChecksum uint32 // of that record
+	validBytes   int    // size up to the end of the last valid record; 0: no valid record
+	lastChecksum uint32 // checksum of that record
 }
 
-// recovery reads a directory. Nothing on disk changes before makeDurable.
+// recovery recovers a log from its directory. It changes nothing on disk before makeDurable.
 type recovery struct {
-	log             *Log
-	segments        []scannedSegment // by sequence number
-	stored          consensus.PersistedState
-	validSegments   int  // how many of the segments are valid, at least in part
-	scannedSegments int  // how many of the segments were examined
-	gapFound        bool // the last examined segment contains records that do not continue the ones before
+	log          *Log
+	segments     []scannedSegment // sorted by sequence number
+	state        consensus.PersistedState
+	validCount   int  // number of leading segments with at least one valid record
+	scannedCount int  // number of leading segments that replay has examined
+	gapFound     bool // replay stopped at a segment or record that does not continue the records before it
 }
 
-// read reads the snapshot and the segments, and replays the valid records.
+// read reads the snapshot and the segments, replays the valid records, and rejects an incomplete log.
 func (r *recovery) read() error {
 	files, err := r.log.fileSystem.List(r.log.directory)
 	if err != nil {
@@ -86,39 +86,39 @@
 	return nil
 }
 
-// checkComplete rejects a log in which recovery stopped at a segment that others follow, or at one that does not continue the
-// ones before it: whatever a segment was started after was durable then, so that something acknowledged is missing.
+// checkComplete rejects a log whose replay stopped at a segment that others follow, or at one that does not continue those
+// before it. All records that precede a segment were durable when it was started, so acknowledged records are missing.
 func (r *recovery) checkComplete() error {
-	if !r.log.enforces(GuardAllSegments) || (r.scannedSegments >= len(r.segments) && !r.gapFound) {
+	if !r.log.enforces(GuardAllSegments) || (r.scannedCount >= len(r.segments) && !r.gapFound) {
 		return nil
 	}
-	return fmt.Errorf("%w: %s, and %s stands behind it",
+	return fmt.Errorf("%w: the log cannot be continued with %s, and the last segment found is %s",
 		ErrCorrupt, segmentName(r.log.nextSegment), r.segments[len(r.segments)-1].name)
 }
 
-// readSnapshots reads the newest snapshot and marks older ones for removal. A corrupt one is an error, since its content was
-// durable before it got its name.
+// readSnapshots reads the newest snapshot and marks older and temporary ones for removal. It is an error if the newest one is
+// corrupt, since the content of a snapshot is durable before it gets its final name.
 func (r *recovery) readSnapshots(files []FileInfo) error {
-	var found []snapshotFile
+	var snapshots []snapshotFile
 	for _, file := range files {
 		if file.Name == snapshotTemporaryName {
 			r.log.obsoleteFiles = append(r.log.obsoleteFiles, file.Name)
 		}
 		if index, ok := parseSnapshotName(file.Name); ok {
-			found = append(found, snapshotFile{name: file.Name, index: index, size: file.Size})
+			snapshots = append(snapshots, snapshotFile{name: file.Name, index: index, size: file.Size})
 		}
 	}
-	if len(found) == 0 {
+	if len(snapshots) == 0 {
 		return nil
 	}
-	slices.SortFunc(found, func(a, b snapshotFile) int { return cmp.Compare(b.index, a.index) })
-	for _, older := range found[1:] {
+	slices.SortFunc(snapshots, func(a, b snapshotFile) int { return cmp.Compare(b.index, a.index) })
+	for _, older := range snapshots[1:] {
 		r.log.obsoleteFiles = append(r.log.obsoleteFiles, older.name)
 	}
-	return r.readSnapshot(found[0])
+	return r.readSnapshot(snapshots[0])
 }
 
-// readSnapshot reads a snapshot as the state that the records are replayed on.
+// readSnapshot reads the snapshot to which the records are applied.
 func (r *recovery) readSnapshot(file snapshotFile) error {
 	data, err := r.log.fileSystem.ReadFile(filepath.Join(r.log.directory, file.name))
 	if err != nil {
@@ -130,13 +130,13 @@
 	}
 	r.log.snapshot = file
 	r.log.nextSegment = max(r.log.nextSegment, snapshot.firstSegment)
-	r.stored.Snapshot = snapshot.Snapshot
-	r.stored.HardState = snapshot.hardState
+	r.state.Snapshot = snapshot.Snapshot
+	r.state.HardState = snapshot.hardState
 	r.log.lastIndex = snapshot.Index
 	return nil
 }
 
-// readSegments reads all segments and rejects other format versions.
+// readSegments reads the content of all segments and rejects other format versions.
 func (r *recovery) readSegments(files []FileInfo) error {
 	for _, file := range files {
 		sequence, ok := parseSegmentName(file.Name)
@@ -150,19 +150,19 @@
 		if _, err := checkPreamble(file.Name, data, segmentMagic); err != nil {
 			return err
 		}
-		found := scannedSegment{segment: segment{sequence: sequence, name: file.Name, size: int64(len(data))}, data: data}
-		r.segments = append(r.segments, found)
+		scanned := scannedSegment{segment: segment{sequence: sequence, name: file.Name, size: int64(len(data))}, data: data}
+		r.segments = append(r.segments, scanned)
 	}
 	slices.SortFunc(r.segments, func(a, b scannedSegment) int { return cmp.Compare(a.sequence, b.sequence) })
 	return nil
 }
 
-// skipObsoleteSegments drops the segments that the snapshot replaces.
+// skipObsoleteSegments skips the segments that the snapshot has replaced and marks them for removal.
 func (r *recovery) skipObsoleteSegments() {
 	if !r.log.enforces(GuardObsoleteSegmentsIgnored) {
 		return
 	}
-	first := r.log.nextSegment // the snapshot's first segment, or 1
+	first := r.log.nextSegment // first segment that the snapshot requires; 1 without a snapshot
 	obsolete := 0
 	for obsolete < len(r.segments) && r.segments[obsolete].sequence < first {
 		r.log.obsoleteFiles = append(r.log.obsoleteFiles, r.segments[obsolete].name)
@@ -171,16 +171,16 @@
 	r.segments = r.segments[obsolete:]
 }
 
-// replay replays the records up to the first one that is not valid.
+// replay replays all records before the first invalid one.
 func (r *recovery) replay() {
 	for i := range r.segments {
 		if r.segments[i].sequence != r.log.nextSegment {
-			return // the previous segment is missing
+			return // at least one segment is missing
 		}
-		r.scannedSegments = i + 1
+		r.scannedCount = i + 1
 		complete := r.replaySegment(&r.segments[i])
 		if r.segments[i].validBytes > 0 {
-			r.validSegments = i + 1
+			r.validCount = i + 1
 			r.log.nextSegment++
 		}
 		if !complete {
@@ -189,9 +189,9 @@
 	}
 }
 
-// replaySegment replays one segment and reports whether all of it is valid.
-func (r *recovery) replaySegment(found *scannedSegment) bool {
-	reader, ok := newRecordReader(found.data, found.sequence)
+// replaySegment replays the valid records at the beginning of a segment and reports whether they are all of its content.
+func (r *recovery) replaySegment(scanned *scannedSegment) bool {
+	reader, ok := newRecordReader(scanned.data, scanned.sequence)
 	if !ok {
 		return false
 	}
@@ -204,19 +204,19 @@
 		if !ok {
 			break
 		}
-		if !r.apply(found, kind, body) {
+		if !r.apply(scanned, kind, body) {
 			r.gapFound = true
 			break
 		}
 		reader.accept()
-		found.validBytes = reader.offset
-		found.lastChecksum = reader.lastChecksum
+		scanned.validBytes = reader.offset
+		scanned.lastChecksum = reader.lastChecksum
 	}
-	return found.validBytes == len(found.data)
+	return scanned.validBytes == len(scanned.data)
 }
 
-// continuesPrevious reports whether the previous segment ends with the record that this one was started after, and no entry
-// is missing in between.
+// continuesPrevious reports whether the previous segment ends with the record after which this segment was started, and no
+// entry is missing between them.
 func (r *recovery) continuesPrevious(reader *recordReader) bool {
 	if !r.log.enforces(GuardSegmentOrder) {
 		return true
@@ -224,49 +224,50 @@
 	if reader.firstIndex > r.log.lastIndex+1 {
 		return false
 	}
-	return r.validSegments == 0 || reader.previousChecksum == r.segments[r.validSegments-1].lastChecksum
+	return r.validCount == 0 || reader.previousChecksum == r.segments[r.validCount-1].lastChecksum
 }
 
-// apply replays one record. It returns false if the record cannot follow those before it.
-func (r *recovery) apply(found *scannedSegment, kind recordKind, body []byte) bool {
+// apply replays one record. It returns false if the record cannot be decoded or cannot follow the records before it.
+func (r *recovery) apply(scanned *scannedSegment, kind recordKind, body []byte) bool {
 	switch kind {
 	case recordHardState:
 		state, err := decodeHardState(body)
 		if err != nil {
 			return false
 		}
-		r.stored.HardState = state
+		r.state.HardState = state
 		return true
 	case recordEntry:
 		entry, err := decodeEntry(body)
 		if err != nil {
 			return false
 		}
-		return r.applyEntry(found, entry)
+		return r.applyEntry(scanned, entry)
 	default:
 		return false
 	}
 }
 
-// applyEntry replaces all entries from the entry's index on by the entry.
-func (r *recovery) applyEntry(found *scannedSegment, entry consensus.Entry) bool {
+// applyEntry replaces all entries from the index of the entry on by the entry. It returns false if an entry before it is
+// missing.
+func (r *recovery) applyEntry(scanned *scannedSegment, entry consensus.Entry) bool {
 	if entry.Index > r.log.lastIndex+1 {
 		return false
 	}
-	found.maxIndex = max(found.maxIndex, entry.Index)
-	base := r.stored.Snapshot.Index
+	scanned.maxIndex = max(scanned.maxIndex, entry.Index)
+	base := r.state.Snapshot.Index
 	if entry.Index <= base {
-		r.stored.Entries = nil
+		r.state.Entries = nil
 		r.log.lastIndex = base
 		return true
 	}
-	r.stored.Entries = append(r.stored.Entries[:entry.Index-base-1], entry)
+	r.state.Entries = append(r.state.Entries[:entry.Index-base-1], entry)
 	r.log.lastIndex = entry.Index
 	return true
 }
 
-// adoptHardState limits the commit index to what was recovered, and makes the hard state the log's.
+// adoptHardState limits the commit index to the recovered entries and sets the hard state of the log.
 func (r *recovery) adoptHardState() {
-	r.stored.HardState.Commit = min(r.stored.HardState.Commit, r.log.lastIndex)
-	r.log.hardState = r.stored.HardState
+	r.state.HardState.Commit = min(r.state.HardState.Commit, r.log.lastIndex)
+	r.log.hardState = r.state.HardState
 }
--- a/coord/seglog/recovery_durable.go
+++ b/coord/seglog/recovery_durable.go
@@ -5,8 +5,8 @@
 	"path/filepath"
 )
 
-// makeDurable truncates and removes what is not valid, and syncs the rest: a process that was killed may have left records
-// that it had not synced. It must succeed before the log is written to.
+// makeDurable truncates and removes invalid data and syncs the rest, since a killed process may have left records that it had
+// not synced. It must succeed before the first write to the log.
 func (r *recovery) makeDurable() error {
 	if !r.log.enforces(GuardRecoverySynced) {
 		return r.openActiveSegment()
@@ -24,10 +24,10 @@
 	return nil
 }
 
-// removeInvalidSegments removes the segments behind the last valid one. Those that reappear because the directory was not
-// synced do not continue the truncated one, and so never become valid again.
+// removeInvalidSegments removes the segments after the last valid one. They may reappear after a power loss before the
+// directory is synced, but they do not continue the truncated segment and so never become valid again.
 func (r *recovery) removeInvalidSegments() error {
-	for _, invalid := range r.segments[r.validSegments:] {
+	for _, invalid := range r.segments[r.validCount:] {
 		if err := r.log.fileSystem.Remove(filepath.Join(r.log.directory, invalid.name)); err != nil {
 			return err
 		}
@@ -35,12 +35,12 @@
 	return nil
 }
 
-// openActiveSegment opens the last valid segment for appending. The ones before it are sealed.
+// openActiveSegment opens the last valid segment for appending. All segments before it are sealed.
 func (r *recovery) openActiveSegment() error {
-	if r.validSegments == 0 {
+	if r.validCount == 0 {
 		return nil
 	}
-	last := r.segments[r.validSegments-1]
+	last := r.segments[r.validCount-1]
 	file, err := r.log.fileSystem.OpenAppend(filepath.Join(r.log.directory, last.name))
 	if err != nil {
 		return err
@@ -56,14 +56,14 @@
 		_ = file.Close() // nothing was written to it
 		return err
 	}
-	for _, sealed := range r.segments[:r.validSegments-1] {
+	for _, sealed := range r.segments[:r.validCount-1] {
 		r.log.sealed = append(r.log.sealed, sealed.segment)
 	}
 	r.log.active = active
 	return nil
 }
 
-// truncateInvalidTail removes what is not valid in the last segment and makes the rest durable.
+// truncateInvalidTail truncates the last segment after its last valid record and makes the rest durable.
 func (r *recovery) truncateInvalidTail(active *activeSegment) error {
 	if !r.log.enforces(GuardRecoverySynced) {
 		return nil
--- a/coord/seglog/seglogtest/disk.go
+++ b/coord/seglog/seglogtest/disk.go
@@ -1,6 +1,6 @@
-// Package seglogtest provides MemoryDisk, an in-memory seglog.FileSystem for tests. It distinguishes what was synced from what
-// was only written, and can lose power with all, some or none of the unsynced writes, be full, and fail or stop at a chosen
-// operation. Only tests and the simulation of the control plane import it.
+// Package seglogtest provides MemoryDisk, an in-memory seglog.FileSystem for tests. MemoryDisk distinguishes synced from
+// unsynced changes. It can simulate a power loss that persists all, some or none of the unsynced changes, a full disk, and a
+// failure or a power loss at a chosen operation. Only tests and the control plane simulation import this package.
 package seglogtest
 
 import (
@@ -14,62 +14,62 @@
 	"ospreybend/coord/seglog"
 )
 
-// Errors that the disk returns on demand.
+// Errors of simulated faults.
 var (
-	// ErrFull means that the disk has no free space.
+	// ErrFull means that the disk has no free space left.
 	ErrFull = syscall.ENOSPC
-	// ErrInjected means that the operation was chosen to fail.
+	// ErrInjected is returned by an operation that FailOperation or FailAll makes fail.
 	ErrInjected = errors.New("seglogtest: injected failure")
-	// ErrPowerLost means that the machine has lost power, or had when the file was opened.
+	// ErrPowerLost means that the machine has lost power, or that the file was opened before a power loss or a restart.
 	ErrPowerLost = errors.New("seglogtest: the machine has lost power")
 )
 
-// Unlimited is a number of bytes or operations that is never reached.
+// Unlimited is a number of bytes or operations that no test reaches.
 const Unlimited = int64(1<<62 - 1)
 
-// fileWrite is one write to a file, or one change of its size, that has not been synced.
-type fileWrite struct {
+// fileChange is an unsynced write to a file or change of its size.
+type fileChange struct {
 	truncate bool
-	offset   int64 // of the write, or the new size
+	offset   int64 // offset of a write, or new size
 	data     []byte
 }
 
-// inode is a file's content, apart from its names.
+// inode is the content of a file, independent of its directory entries.
 type inode struct {
-	data           []byte      // as processes read it
-	durable        []byte      // as of the latest sync
-	unsyncedWrites []fileWrite // since the latest sync, in order
+	data            []byte       // current content, as reads return it
+	durable         []byte       // content as of the latest sync
+	unsyncedChanges []fileChange // changes since the latest sync, in order
 }
 
-// directoryChange is one change of a directory that has not been synced.
+// directoryChange is an unsynced creation, renaming or removal of a file.
 type directoryChange struct {
 	directory   string
-	renamedFrom string // old path, of a rename
+	renamedFrom string // old path; empty if it is not a rename
 	path        string // path created, renamed to or removed
-	target      *inode // nil: removed
+	inode       *inode // file that path refers to; nil if path was removed
 }
 
-// MemoryDisk is an in-memory file system. Its methods may be called by any goroutine.
+// MemoryDisk is an in-memory file system that simulates faults. Its methods are safe for concurrent use.
 type MemoryDisk struct {
-	mutex           sync.Mutex        // guards the fields below and, during operations, those after them
-	entries         map[string]*inode // by path, as processes see them
-	durableEntries  map[string]*inode // as of the latest syncs of their directories
+	mutex           sync.Mutex        // guards the unexported fields and, while operations run, the others
+	entries         map[string]*inode // by path; as operations see them
+	durableEntries  map[string]*inode // by path; as of the latest syncs of their directories
 	unsyncedChanges []directoryChange
 	directories     map[string]bool
-	generation      int // counts power losses and restarts; files opened before the latest one are unusable
+	generation      int // number of power losses and restarts; invalidates files opened before the latest one
 
-	// Faults, set by the test while no operation is running.
-	FreeBytes           int64 // bytes that writes may still add
-	RemainingOperations int64 // modifying operations until the power is lost
-	FailAll             bool  // each modifying operation fails
-	Full                bool  // each write fails, also one that creates or renames a file; files can be removed
-	FailOperation       int64 // the number of the modifying operation from now that fails; 0: none
+	// Simulated faults. A test sets them while no operation is running.
+	FreeBytes           int64 // free space, which writes use up
+	RemainingOperations int64 // number of modifying operations before the power is lost
+	FailAll             bool  // all modifying operations fail
+	Full                bool  // writes, creations and renames fail with ErrFull; removals succeed
+	FailOperation       int64 // n: the nth modifying operation from now fails; 0: none
 
-	SyncCount int    // syncs of files so far
-	OnSync    func() // called before each sync of a file; may be nil
+	SyncCount int    // number of file syncs so far
+	OnSync    func() // called before each sync of a file if not nil
 }
 
-// NewMemoryDisk returns an empty disk without limits.
+// NewMemoryDisk returns an empty disk without simulated faults.
 func NewMemoryDisk() *MemoryDisk {
 	return &MemoryDisk{
 		entries:             map[string]*inode{},
@@ -80,7 +80,7 @@
 	}
 }
 
-// Clone returns a copy of the disk without faults.
+// Clone returns a copy of the files and unsynced changes, without simulated faults.
 func (d *MemoryDisk) Clone() *MemoryDisk {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -102,7 +102,7 @@
 		clone.durableEntries[path] = copyOf(original)
 	}
 	for _, change := range d.unsyncedChanges {
-		change.target = copyOf(change.target)
+		change.inode = copyOf(change.inode)
 		clone.unsyncedChanges = append(clone.unsyncedChanges, change)
 	}
 	maps.Copy(clone.directories, d.directories)
@@ -112,13 +112,13 @@
 // clone returns a copy of the inode.
 func (n *inode) clone() *inode {
 	return &inode{
-		data:           append([]byte(nil), n.data...),
-		durable:        append([]byte(nil), n.durable...),
-		unsyncedWrites: append([]fileWrite(nil), n.unsyncedWrites...),
+		data:            append([]byte(nil), n.data...),
+		durable:         append([]byte(nil), n.durable...),
+		unsyncedChanges: append([]fileChange(nil), n.unsyncedChanges...),
 	}
 }
 
-// countOperation counts one modifying operation and returns the error that is due for it.
+// countOperation counts one modifying operation and returns the error with which it must fail, if any.
 func (d *MemoryDisk) countOperation() error {
 	if d.RemainingOperations <= 0 {
 		return ErrPowerLost
@@ -130,8 +130,8 @@
 	return nil
 }
 
-// countAllocation counts one modifying operation that needs free space.
-func (d *MemoryDisk) countAllocation() error {
+// countAllocatingOperation is countOperation for an operation that requires free disk space.
+func (d *MemoryDisk) countAllocatingOperation() error {
 	if err := d.countOperation(); err != nil {
 		return err
 	}
@@ -141,7 +141,7 @@
 	return nil
 }
 
-// UsedBytes returns the size of all files.
+// UsedBytes returns the total size of all files.
 func (d *MemoryDisk) UsedBytes() int64 {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -152,7 +152,7 @@
 	return total
 }
 
-// injectedFailureDue counts down to FailOperation.
+// injectedFailureDue counts FailOperation down and reports whether it has reached the operation that fails.
 func (d *MemoryDisk) injectedFailureDue() bool {
 	if d.FailOperation == 0 {
 		return false
@@ -161,25 +161,25 @@
 	return d.FailOperation == 0
 }
 
-// MakeDirectory creates a directory, durably.
+// MakeDirectory durably creates a directory.
 func (d *MemoryDisk) MakeDirectory(directory string) error {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if d.directories[directory] {
 		return nil
 	}
-	if err := d.countAllocation(); err != nil {
+	if err := d.countAllocatingOperation(); err != nil {
 		return err
 	}
 	d.directories[directory] = true
 	return nil
 }
 
-// Create creates an empty file, or truncates the existing one.
+// Create creates an empty file or truncates an existing one.
 func (d *MemoryDisk) Create(path string) (seglog.File, error) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if err := d.countAllocation(); err != nil {
+	if err := d.countAllocatingOperation(); err != nil {
 		return nil, err
 	}
 	if existing := d.entries[path]; existing != nil {
@@ -189,10 +189,10 @@
 	if d.FreeBytes <= 0 {
 		return nil, ErrFull
 	}
-	made := &inode{}
-	d.entries[path] = made
-	d.unsyncedChanges = append(d.unsyncedChanges, directoryChange{directory: filepath.Dir(path), path: path, target: made})
-	return &file{disk: d, inode: made, generation: d.generation}, nil
+	created := &inode{}
+	d.entries[path] = created
+	d.unsyncedChanges = append(d.unsyncedChanges, directoryChange{directory: filepath.Dir(path), path: path, inode: created})
+	return &file{disk: d, inode: created, generation: d.generation}, nil
 }
 
 // OpenAppend opens an existing file for appending.
@@ -217,11 +217,11 @@
 	return append([]byte(nil), existing.data...), nil
 }
 
-// Rename renames a file and replaces the target if that exists.
+// Rename renames a file, replacing an existing target.
 func (d *MemoryDisk) Rename(from, to string) error {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if err := d.countAllocation(); err != nil {
+	if err := d.countAllocatingOperation(); err != nil {
 		return err
 	}
 	moved := d.entries[from]
@@ -230,7 +230,8 @@
 	}
 	delete(d.entries, from)
 	d.entries[to] = moved
-	d.unsyncedChanges = append(d.unsyncedChanges, directoryChange{directory: filepath.Dir(to), renamedFrom: from, path: to, target: moved})
+	d.unsyncedChanges = append(d.unsyncedChanges,
+		directoryChange{directory: filepath.Dir(to), renamedFrom: from, path: to, inode: moved})
 	return nil
 }
 
@@ -249,7 +250,7 @@
 	return nil
 }
 
-// List returns the files of a directory.
+// List returns the files in a directory.
 func (d *MemoryDisk) List(directory string) ([]seglog.FileInfo, error) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -262,47 +263,47 @@
 	return files, nil
 }
 
-// SyncDirectory makes the entries of a directory durable.
+// SyncDirectory makes the unsynced changes of a directory durable.
 func (d *MemoryDisk) SyncDirectory(directory string) error {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if err := d.countOperation(); err != nil {
 		return err
 	}
-	var unsynced []directoryChange
+	var remaining []directoryChange
 	for _, change := range d.unsyncedChanges {
 		if change.directory == directory {
 			change.apply(d.durableEntries)
 		} else {
-			unsynced = append(unsynced, change)
+			remaining = append(remaining, change)
 		}
 	}
-	d.unsyncedChanges = unsynced
+	d.unsyncedChanges = remaining
 	return nil
 }
 
-// WriteFile puts a durable file on the disk. It is not counted as an operation.
+// WriteFile durably creates or replaces a file. It does not count as an operation and is not subject to simulated faults.
 func (d *MemoryDisk) WriteFile(path string, data []byte) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	made := &inode{data: append([]byte(nil), data...), durable: append([]byte(nil), data...)}
-	d.entries[path] = made
-	d.durableEntries[path] = made
+	created := &inode{data: append([]byte(nil), data...), durable: append([]byte(nil), data...)}
+	d.entries[path] = created
+	d.durableEntries[path] = created
 }
 
-// apply makes the change in a map of paths.
-func (c directoryChange) apply(names map[string]*inode) {
+// apply applies the change to entries by path.
+func (c directoryChange) apply(entries map[string]*inode) {
 	if c.renamedFrom != "" {
-		delete(names, c.renamedFrom)
+		delete(entries, c.renamedFrom)
 	}
-	if c.target == nil {
-		delete(names, c.path)
+	if c.inode == nil {
+		delete(entries, c.path)
 		return
 	}
-	names[c.path] = c.target
+	entries[c.path] = c.inode
 }
 
-// SingleFile returns the path of the only file of a directory, or "" if there is not exactly one.
+// SingleFile returns the path of the only file in a directory, or "" if the directory does not contain exactly one file.
 func SingleFile(disk *MemoryDisk, directory string) string {
 	files, err := disk.List(directory)
 	if err != nil || len(files) != 1 {
--- a/coord/seglog/seglogtest/file.go
+++ b/coord/seglog/seglogtest/file.go
@@ -1,13 +1,13 @@
 package seglogtest
 
-// file is an open file that is appended to.
+// file is a file opened for appending. It implements seglog.File.
 type file struct {
 	disk       *MemoryDisk
 	inode      *inode
-	generation int // of the disk when the file was opened
+	generation int // generation of the disk when the file was opened
 }
 
-// countOperation counts one modifying operation. A file that was opened before a power loss or restart is unusable.
+// countOperation counts one modifying operation. It fails for a file opened before the latest power loss or restart.
 func (f *file) countOperation() error {
 	if f.generation != f.disk.generation {
 		return ErrPowerLost
@@ -15,7 +15,8 @@
 	return f.disk.countOperation()
 }
 
-// Write appends data: half of it if the operation fails, and as much as fits on a disk that fills up.
+// Write appends data. If a simulated failure or power loss is due, it appends only the first half and returns the error. If the
+// free space does not suffice, it appends as much as fits.
 func (f *file) Write(data []byte) (int, error) {
 	f.disk.mutex.Lock()
 	defer f.disk.mutex.Unlock()
@@ -38,7 +39,7 @@
 	return len(data), nil
 }
 
-// Truncate sets the size of the file.
+// Truncate changes the size of the file.
 func (f *file) Truncate(size int64) error {
 	f.disk.mutex.Lock()
 	defer f.disk.mutex.Unlock()
@@ -49,7 +50,7 @@
 	return nil
 }
 
-// Sync makes the content durable.
+// Sync makes the content of the file durable.
 func (f *file) Sync() error {
 	if f.disk.OnSync != nil {
 		f.disk.OnSync()
@@ -61,29 +62,29 @@
 	}
 	f.disk.SyncCount++
 	f.inode.durable = append([]byte(nil), f.inode.data...)
-	f.inode.unsyncedWrites = nil
+	f.inode.unsyncedChanges = nil
 	return nil
 }
 
-// Close does nothing: the test disk has no open files to release.
+// Close does nothing: an open file holds no resources.
 func (f *file) Close() error { return nil }
 
-// write appends data that is not durable yet.
+// write appends data without making it durable.
 func (n *inode) write(data []byte) {
-	n.unsyncedWrites = append(n.unsyncedWrites, fileWrite{offset: int64(len(n.data)), data: data})
+	n.unsyncedChanges = append(n.unsyncedChanges, fileChange{offset: int64(len(n.data)), data: data})
 	n.data = append(n.data, data...)
 }
 
-// truncate sets the size, not durably yet.
+// truncate changes the size without making the change durable.
 func (n *inode) truncate(size int64) {
 	if size == int64(len(n.data)) {
 		return
 	}
-	n.unsyncedWrites = append(n.unsyncedWrites, fileWrite{truncate: true, offset: size})
+	n.unsyncedChanges = append(n.unsyncedChanges, fileChange{truncate: true, offset: size})
 	n.data = resized(n.data, size)
 }
 
-// resized returns a copy of the data with the given size, filled up with zeros.
+// resized returns a copy of the data with the given size, truncated or padded with zeros.
 func resized(data []byte, size int64) []byte {
 	if size <= int64(len(data)) {
 		return append([]byte(nil), data[:size]...)
@@ -91,14 +92,14 @@
 	return append(append([]byte(nil), data...), make([]byte, size-int64(len(data)))...)
 }
 
-// apply returns the data after the write. It may change data in place.
-func (w fileWrite) apply(data []byte) []byte {
-	if w.truncate {
-		return resized(data, w.offset)
+// apply returns the data after the change. It may modify data in place.
+func (c fileChange) apply(data []byte) []byte {
+	if c.truncate {
+		return resized(data, c.offset)
 	}
-	if end := w.offset + int64(len(w.data)); end > int64(len(data)) {
+	if end := c.offset + int64(len(c.data)); end > int64(len(data)) {
 		data = resized(data, end)
 	}
-	copy(data[w.offset:], w.data)
+	copy(data[c.offset:], c.data)
 	return data
 }
--- a/coord/seglog/seglogtest/power_loss.go
+++ b/coord/seglog/seglogtest/power_loss.go
@@ -5,16 +5,17 @@
 	"slices"
 )
 
-// Probabilities of what a power loss leaves, in tenths.
+// Probabilities of the outcomes of a power loss, in tenths.
 const (
-	chanceAllLost   = 2 // of all unsynced changes being lost together
-	chancePersisted = 4 // of one write being persisted completely
-	chanceTorn      = 3 // of one write being persisted in part: its beginning, or its end behind a hole
+	chanceAllLost   = 2 // all unsynced changes are lost
+	chancePersisted = 4 // otherwise, a change of a file is persisted completely
+	chanceTorn      = 3 // otherwise, only the beginning or the end of a write is persisted
 	tenths          = 10
 )
 
-// LosePower leaves what was synced and, independently of each unsynced change, all, a part or nothing of it. Faults are
-// reset, and open files become unusable.
+// LosePower simulates a power loss. Everything synced is kept. Either all unsynced changes are lost, or each of them is
+// independently persisted or lost, or persisted in part if it is a write. Simulated faults are reset, and open files become
+// unusable.
 func (d *MemoryDisk) LosePower(random *rand.Rand) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -33,80 +34,81 @@
 	d.reboot()
 }
 
-// Restart leaves everything as the process left it, as after the end of a process. Faults are reset, and open files become
-// unusable.
+// Restart simulates the end of a process without a power loss: all changes are kept, and unsynced ones stay unsynced. Simulated
+// faults are reset, and open files become unusable.
 func (d *MemoryDisk) Restart() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.reboot()
 }
 
-// reboot resets the faults and makes open files unusable.
+// reboot resets the simulated faults and makes open files unusable.
 func (d *MemoryDisk) reboot() {
 	d.generation++
 	d.FreeBytes, d.RemainingOperations = Unlimited, Unlimited
 	d.FailAll, d.Full, d.FailOperation = false, false, 0
 }
 
-// losePower decides what is left of the unsynced writes.
+// losePower applies a random part of the unsynced changes, or none of them if allLost is set, and makes the result durable.
 func (n *inode) losePower(random *rand.Rand, allLost bool) {
 	data := append([]byte(nil), n.durable...)
-	for _, write := range n.unsyncedWrites {
+	for _, change := range n.unsyncedChanges {
 		if !allLost {
-			data = write.applyRandomPart(data, random)
+			data = change.applyRandomPart(data, random)
 		}
 	}
 	n.data = data
 	n.durable = append([]byte(nil), data...)
-	n.unsyncedWrites = nil
+	n.unsyncedChanges = nil
 }
 
-// applyRandomPart returns the data after the write, a part of it, or nothing.
-func (w fileWrite) applyRandomPart(data []byte, random *rand.Rand) []byte {
-	number := random.IntN(tenths)
-	if number < chancePersisted {
-		return w.apply(data)
+// applyRandomPart returns the data after the whole change, a random part of it, or none of it.
+func (c fileChange) applyRandomPart(data []byte, random *rand.Rand) []byte {
+	draw := random.IntN(tenths)
+	if draw < chancePersisted {
+		return c.apply(data)
 	}
-	if number >= chancePersisted+chanceTorn || w.truncate || len(w.data) == 0 {
+	if draw >= chancePersisted+chanceTorn || c.truncate || len(c.data) == 0 {
 		return data
 	}
-	cut := random.IntN(len(w.data))
+	split := random.IntN(len(c.data))
 	if random.IntN(2) == 0 {
-		return fileWrite{offset: w.offset, data: w.data[:cut]}.apply(data)
+		return fileChange{offset: c.offset, data: c.data[:split]}.apply(data)
 	}
-	return fileWrite{offset: w.offset + int64(cut), data: w.data[cut:]}.apply(data)
+	return fileChange{offset: c.offset + int64(split), data: c.data[split:]}.apply(data)
 }
 
-// contentOutcome is what a power loss leaves of the writes that were not synced.
+// contentOutcome is the effect of a power loss on the unsynced changes of all files.
 type contentOutcome int
 
 const (
-	contentLost      contentOutcome = iota // nothing
-	contentPersisted                       // all
-	contentTorn                            // all but the second half of the last write to each file
+	contentLost      contentOutcome = iota // all are lost
+	contentPersisted                       // all are persisted
+	contentTorn                            // all are persisted except the second half of the last write to each file
 	contentOutcomeCount
 )
 
-// directoryOutcome is what a power loss leaves of one directory change that was not synced.
+// directoryOutcome is the effect of a power loss on one unsynced directory change.
 type directoryOutcome int
 
 const (
-	nameLost directoryOutcome = iota
-	namePersisted
-	nameDuplicated // of a rename: the new name is there and the old one as well
+	changeLost directoryOutcome = iota
+	changePersisted
+	bothNamesPersisted // of a rename: both the old and the new name exist
 )
 
 // outcomes returns the possible outcomes of a directory change.
 func (c directoryChange) outcomes() []directoryOutcome {
 	if c.renamedFrom != "" {
-		return []directoryOutcome{nameLost, namePersisted, nameDuplicated}
+		return []directoryOutcome{changeLost, changePersisted, bothNamesPersisted}
 	}
-	return []directoryOutcome{nameLost, namePersisted}
+	return []directoryOutcome{changeLost, changePersisted}
 }
 
-// ForEachPowerLoss calls visit with a copy of the disk for each state in which a power loss at this moment may leave it, until
-// a call returns an error, which it returns. Each unsynced directory change is lost or persisted independently; the unsynced
-// content is lost, persisted or torn. The copies have no faults.
+// ForEachPowerLoss calls visit with a copy of the disk for each simulated outcome of a power loss at this moment. It stops at
+// the first error of visit and returns it. The outcomes are all combinations in which each unsynced directory change is
+// persisted or lost (a rename may also leave both names), and the unsynced content of all files is persisted, lost or torn.
+// The copies have no simulated faults.
 func (d *MemoryDisk) ForEachPowerLoss(visit func(lost *MemoryDisk) error) error {
 	for content := range contentOutcomeCount {
 		if err := d.forEachDirectoryOutcome(nil, content, visit); err != nil {
@@ -116,8 +118,10 @@
 	return nil
 }
 
-// forEachDirectoryOutcome visits all combinations of outcomes that begin with the chosen ones.
-func (d *MemoryDisk) forEachDirectoryOutcome(chosen []directoryOutcome, content contentOutcome, visit func(lost *MemoryDisk) error) error {
+// forEachDirectoryOutcome visits all combinations of directory outcomes that begin with the chosen ones.
+func (d *MemoryDisk) forEachDirectoryOutcome(
+	chosen []directoryOutcome, content contentOutcome, visit func(lost *MemoryDisk) error,
+) error {
 	if len(chosen) == len(d.unsyncedChanges) {
 		lost := d.Clone()
 		lost.applyPowerLoss(chosen, content)
@@ -131,42 +135,42 @@
 	return nil
 }
 
-// applyPowerLoss applies the chosen outcome to each directory change, and one outcome to the content of all files.
-func (d *MemoryDisk) applyPowerLoss(chosen []directoryOutcome, unsynced contentOutcome) {
+// applyPowerLoss applies the chosen outcomes to the directory changes, in order, and one outcome to the content of all files.
+func (d *MemoryDisk) applyPowerLoss(chosen []directoryOutcome, outcome contentOutcome) {
 	for i, change := range d.unsyncedChanges {
 		switch chosen[i] {
-		case nameDuplicated:
+		case bothNamesPersisted:
 			change.renamedFrom = ""
 			change.apply(d.durableEntries)
-		case namePersisted:
+		case changePersisted:
 			change.apply(d.durableEntries)
 		}
 	}
 	d.entries = map[string]*inode{}
 	for path, content := range d.durableEntries {
-		content.applyOutcome(unsynced)
+		content.applyOutcome(outcome)
 		d.entries[path] = content
 	}
 	d.unsyncedChanges = nil
 	d.reboot()
 }
 
-// applyOutcome makes durable what the outcome leaves of the content.
+// applyOutcome applies the unsynced changes that the outcome persists and makes the result durable.
 func (n *inode) applyOutcome(outcome contentOutcome) {
 	data := append([]byte(nil), n.durable...)
-	for i, write := range n.unsyncedWrites {
+	for i, change := range n.unsyncedChanges {
 		if outcome == contentLost {
 			break
 		}
-		if outcome == contentTorn && i == len(n.unsyncedWrites)-1 {
-			write.data = write.data[:len(write.data)/2]
+		if outcome == contentTorn && i == len(n.unsyncedChanges)-1 {
+			change.data = change.data[:len(change.data)/2]
 		}
-		data = write.apply(data)
+		data = change.apply(data)
 	}
 	n.data = data
 	n.durable = append([]byte(nil), data...)
-	n.unsyncedWrites = nil
+	n.unsyncedChanges = nil
 }
 
-// NewRandom returns a source of random numbers that is determined by the seed.
+// NewRandom returns a deterministic source of random numbers for a seed.
 func NewRandom(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, 1)) }
--- a/coord/seglog/segment.go
+++ b/coord/seglog/segment.go
@@ -8,35 +8,35 @@
 	"ospreybend/coord/consensus"
 )
 
-// Names of segments.
+// File names of segments.
 const (
 	segmentSuffix = ".segment"
 	segmentFormat = "%020d" + segmentSuffix // sequence number
 )
 
-// segment describes a segment's file.
+// segment describes the file of a segment.
 type segment struct {
 	sequence uint64
 	name     string
-	size     int64  // bytes
-	maxIndex uint64 // greatest index of its entries, replaced ones included; 0: none
+	size     int64  // in bytes
+	maxIndex uint64 // greatest index of its entries, including replaced ones; 0 if it has none
 }
 
-// activeSegment is the segment that is appended to.
+// activeSegment is the segment to which records are appended.
 type activeSegment struct {
 	segment
 	file             File
-	previousChecksum uint32 // checksum of the last record of the previous segment; 0: none
-	durableBytes     int64  // size up to the end of the last durable record
-	lastChecksum     uint32 // of the last durable record
-	nameSynced       bool   // its directory entry is durable
+	previousChecksum uint32 // checksum of the last record of the previous segment; 0 if there is none
+	durableBytes     int64  // size up to the end of the last durable record; 0 if the header is not durable either
+	lastChecksum     uint32 // checksum of the last durable record
+	nameSynced       bool   // the directory entry of the segment is durable
 	dirty            bool   // there may be data after durableBytes
 }
 
-// segmentName returns the file name of a segment.
+// segmentName returns the file name of the segment with the sequence number.
 func segmentName(sequence uint64) string { return fmt.Sprintf(segmentFormat, sequence) }
 
-// parseSegmentName returns the sequence number of a segment; ok is false for other files.
+// parseSegmentName returns the sequence number in the file name of a segment. ok is false if the name is not one of a segment.
 func parseSegmentName(name string) (sequence uint64, ok bool) {
 	if !strings.HasSuffix(name, segmentSuffix) {
 		return 0, false
@@ -47,8 +47,8 @@
 	return sequence, segmentName(sequence) == name
 }
 
-// prepareActiveSegment makes the active segment ready for a write: it truncates the remains of a failed write, and starts a
-// new segment if there is none or if it is full.
+// prepareActiveSegment prepares a write: it truncates leftovers of a failed write, and starts a new segment if there is no
+// active one or the active one has reached its size limit.
 func (l *Log) prepareActiveSegment() error {
 	if l.active != nil && l.active.dirty && l.enforces(GuardFailedWriteTruncated) {
 		if err := l.active.truncate(); err != nil {
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// truncate removes whatever may follow the durable records.
+// truncate durably removes any data after the durable records.
 func (a *activeSegment) truncate() error {
 	if err := a.file.Truncate(a.durableBytes); err != nil {
 		return err
@@ -74,7 +74,7 @@
 }
 
 // startSegment creates the file of a new segment and seals the previous one. The header is written with the first records.
-// After an error the next attempt uses the same sequence number, so that no empty file stands before a segment that counts.
+// After an error, the next attempt uses the same sequence number, so that no empty file precedes a valid segment.
 func (l *Log) startSegment() error {
 	sequence := l.nextSegment
 	name := segmentName(sequence)
@@ -88,7 +88,8 @@
 	return nil
 }
 
-// sealActiveSegment closes the active segment, all of which is durable, and returns the checksum of its last record.
+// sealActiveSegment seals and closes the active segment, which is completely durable, and returns the checksum of its last
+// record, or 0 if there is no active segment.
 func (l *Log) sealActiveSegment() uint32 {
 	if l.active == nil {
 		return 0
@@ -102,7 +103,7 @@
 	return sum
 }
 
-// appendBatch writes the records of the batch to the active segment and makes them durable.
+// appendBatch appends the records of the batch to the active segment, makes them durable, and updates the state of the log.
 func (l *Log) appendBatch(batch []*consensus.PersistRequest) error {
 	writer := recordWriter{lastChecksum: l.active.lastChecksum}
 	if l.active.durableBytes == 0 {
@@ -110,7 +111,7 @@
 	}
 	state := batchState{hardState: l.hardState, lastIndex: l.lastIndex, maxIndex: l.active.maxIndex}
 	for _, request := range batch {
-		state.add(&writer, request)
+		state.appendRequest(&writer, request)
 	}
 	if writer.err != nil {
 		return writer.err
@@ -126,15 +127,15 @@
 	return nil
 }
 
-// batchState tracks the log's state while a batch is encoded. It is adopted once the batch is durable.
+// batchState is the state of the log after the requests of a batch encoded so far. The log adopts it once the batch is durable.
 type batchState struct {
 	hardState consensus.HardState
 	lastIndex uint64
 	maxIndex  uint64
 }
 
-// add encodes the records of one request.
-func (s *batchState) add(writer *recordWriter, request *consensus.PersistRequest) {
+// appendRequest encodes the records of one request and updates the state.
+func (s *batchState) appendRequest(writer *recordWriter, request *consensus.PersistRequest) {
 	for i := range request.Entries {
 		writer.writeEntry(&request.Entries[i])
 		s.lastIndex = request.Entries[i].Index
@@ -146,8 +147,8 @@
 	}
 }
 
-// writeDurably appends data to the active segment and syncs it, and the directory if the segment's name is not durable yet.
-// When it returns without an error, the data survives a power loss.
+// writeDurably appends data to the active segment and syncs the segment, and the directory if the entry of the segment is not
+// durable yet. If it returns no error, the data survives a power loss.
 func (l *Log) writeDurably(data []byte) error {
 	active := l.active
 	active.dirty = true
--- a/coord/seglog/snapshot.go
+++ b/coord/seglog/snapshot.go
@@ -12,18 +12,18 @@
 	"ospreybend/coord/consensus"
 )
 
-// Names of snapshots.
+// File names of snapshots.
 const (
 	snapshotSuffix        = ".snapshot"
 	snapshotFormat        = "%020d" + snapshotSuffix // index
 	snapshotTemporaryName = "snapshot.temporary"
 )
 
-// snapshotFile describes the stored snapshot.
+// snapshotFile describes a snapshot file.
 type snapshotFile struct {
-	name  string // "": none
+	name  string // empty if there is no snapshot
 	index uint64
-	size  int64 // bytes
+	size  int64 // in bytes
 }
 
 // recoveredSnapshot is the decoded content of a snapshot file.
@@ -33,13 +33,13 @@
 	firstSegment uint64 // segments with lower sequence numbers are obsolete
 }
 
-// isNotExist reports whether the error is that of a missing file.
+// isNotExist reports whether err means that a file is missing.
 func isNotExist(err error) bool { return errors.Is(err, fs.ErrNotExist) }
 
-// snapshotName returns the file name of a snapshot.
+// snapshotName returns the file name of the snapshot at the index.
 func snapshotName(index uint64) string { return fmt.Sprintf(snapshotFormat, index) }
 
-// parseSnapshotName returns the index of a snapshot; ok is false for other files.
+// parseSnapshotName returns the index in the file name of a snapshot. ok is false if the name is not one of a snapshot.
 func parseSnapshotName(name string) (index uint64, ok bool) {
 	if !strings.HasSuffix(name, snapshotSuffix) {
 		return 0, false
@@ -50,7 +50,7 @@
 	return index, snapshotName(index) == name
 }
 
-// writeSnapshot makes a snapshot durable under its name and marks the previous one for removal.
+// writeSnapshot durably stores a snapshot and marks the previous one for removal. Segments before firstSegment become obsolete.
 func (l *Log) writeSnapshot(snapshot consensus.Snapshot, hardState consensus.HardState, firstSegment uint64) error {
 	data, err := encodeSnapshot(snapshot, hardState, firstSegment)
 	if err != nil {
@@ -69,7 +69,8 @@
 	return nil
 }
 
-// storeSnapshot writes the snapshot's file. A running system uses writeFileDurably; the other cases omit one of its steps.
+// storeSnapshot writes a snapshot file. If all guards are enforced, it uses writeFileDurably; otherwise it omits the step that
+// the omitted guard requires.
 func (l *Log) storeSnapshot(name string, data []byte) error {
 	switch {
 	case !l.enforces(GuardSnapshotRenamedWhenComplete):
@@ -87,18 +88,19 @@
 	return writeFileDurably(l.fileSystem, l.directory, snapshotTemporaryName, name, data)
 }
 
-// discardSnapshot marks a snapshot for removal that may have its name, but not durably.
+// discardSnapshot marks a snapshot for removal that could not be stored: its file may already have the final name, but not
+// durably. The current snapshot is kept.
 func (l *Log) discardSnapshot(name string) {
 	if name != l.snapshot.name {
 		l.obsoleteFiles = append(l.obsoleteFiles, name)
 	}
 }
 
-// writeFileDurably replaces a file atomically: after a power loss the directory contains the old content or the new one.
+// writeFileDurably atomically and durably replaces a file. A power loss during the call leaves the old content or the new one.
 func writeFileDurably(fileSystem FileSystem, directory, temporary, name string, data []byte) error {
 	path := filepath.Join(directory, temporary)
 	if err := writeAndSync(fileSystem, path, data); err != nil {
-		_ = fileSystem.Remove(path) // frees its space at once; the next attempt would truncate it
+		_ = fileSystem.Remove(path) // frees disk space now; otherwise only the next attempt would truncate the file
 		return err
 	}
 	if err := fileSystem.Rename(path, filepath.Join(directory, name)); err != nil {
@@ -107,7 +109,7 @@
 	return fileSystem.SyncDirectory(directory)
 }
 
-// writeAndSync creates a file with the data and syncs its content.
+// writeAndSync creates a file with the data and syncs its content, but not its directory entry.
 func writeAndSync(fileSystem FileSystem, path string, data []byte) error {
 	file, err := fileSystem.Create(path)
 	if err != nil {
@@ -122,12 +124,12 @@
 	return file.Close()
 }
 
-// encodeSnapshot returns the content of a snapshot file.
+// encodeSnapshot encodes the content of a snapshot file.
 func encodeSnapshot(snapshot consensus.Snapshot, hardState consensus.HardState, firstSegment uint64) ([]byte, error) {
-	body, err := codec().Marshal(snapshotSchema(), storedSnapshotRecord{
+	body, err := codec().Marshal(snapshotSchema(), storedSnapshot{
 		Index:        int64(snapshot.Index),
 		Term:         int64(snapshot.Term),
-		Members:      encodeMembers(snapshot.Members),
+		Members:      toStoredMembers(snapshot.Members),
 		Data:         snapshot.Data,
 		HardState:    toStoredHardState(hardState),
 		FirstSegment: int64(firstSegment),
@@ -145,36 +147,35 @@
 	return append(data, body...), nil
 }
 
-// snapshotChecksum computes the checksum of the length in the header and of the body.
+// snapshotChecksum computes the checksum of the body length in the header and of the body.
 func snapshotChecksum(header, body []byte) uint32 {
 	return checksum(checksum(0, header[preambleBytes:snapshotChecksumOffset]), body)
 }
 
-// decodeSnapshot decodes a snapshot file. Errors: FormatError and ErrCorrupt.
+// decodeSnapshot decodes the content of the snapshot file called name. Errors are FormatError and ErrCorrupt.
 func decodeSnapshot(name string, data []byte) (recoveredSnapshot, error) {
 	ok, err := checkPreamble(name, data, snapshotMagic)
 	if err != nil {
 		return recoveredSnapshot{}, err
 	}
-	corrupt := fmt.Errorf("%w: %s", ErrCorrupt, name)
 	if !ok || len(data) < snapshotHeaderBytes {
-		return recoveredSnapshot{}, corrupt
+		return recoveredSnapshot{}, fmt.Errorf("%w: %s: the header is invalid or incomplete", ErrCorrupt, name)
 	}
 	body := data[snapshotHeaderBytes:]
 	length := binary.LittleEndian.Uint64(data[preambleBytes:])
-	check := binary.LittleEndian.Uint32(data[snapshotChecksumOffset:])
-	if length != uint64(len(body)) || check != snapshotChecksum(data, body) {
-		return recoveredSnapshot{}, corrupt
+	storedChecksum := binary.LittleEndian.Uint32(data[snapshotChecksumOffset:])
+	if length != uint64(len(body)) || storedChecksum != snapshotChecksum(data, body) {
+		return recoveredSnapshot{}, fmt.Errorf("%w: %s: the length or the checksum does not match the body", ErrCorrupt, name)
 	}
-	var stored storedSnapshotRecord
+	var stored storedSnapshot
 	if err := codec().Unmarshal(snapshotSchema(), body, &stored); err != nil {
-		return recoveredSnapshot{}, corrupt
+		return recoveredSnapshot{}, fmt.Errorf("%w: %s: decode the body: %s", ErrCorrupt, name, err.Error())
 	}
 	return recoveredSnapshot{
 		Snapshot: consensus.Snapshot{
 			Index:   uint64(stored.Index),
 			Term:    uint64(stored.Term),
-			Members: decodeMembers(stored.Members),
+			Members: fromStoredMembers(stored.Members),
 			Data:    stored.Data,
 		},
 		hardState:    fromStoredHardState(stored.HardState),
