--- a/coord/seglog/benchmark_test.go
+++ b/coord/seglog/benchmark_test.go
@@ -7,10 +7,10 @@
 	"ospreybend/coord/seglog"
 )
 
-// benchmarkEntryBytes is the size of a command in the benchmark.
+// benchmarkEntryBytes is the size of the data of each entry in the benchmark.
 const benchmarkEntryBytes = 200
 
-// BenchmarkSaveOne makes one entry durable on the real file system.
+// BenchmarkSaveOne measures a Save of one entry on the file system of the operating system.
 func BenchmarkSaveOne(b *testing.B) {
 	log, _, err := seglog.Open(seglog.Options{Directory: b.TempDir()})
 	if err != nil {
--- a/coord/seglog/compatibility_test.go
+++ b/coord/seglog/compatibility_test.go
@@ -11,10 +11,11 @@
 	"ospreybend/coord/seglog"
 )
 
-// compatibilityFolder has the files that commit 8782861 wrote: each of its folders is one log, or a disk's member ID.
+// compatibilityFolder contains files written by commit 8782861. Each of its subdirectories is the directory of a log or of
+// a member ID.
 const compatibilityFolder = "testdata/v8782861"
 
-// compatibilitySegmentBytes makes segments so short that a few entries fill several.
+// compatibilitySegmentBytes is so small that a few entries fill several segments.
 const compatibilitySegmentBytes = 256
 
 // compatibilityMember is the member ID of the fixture.
@@ -26,19 +27,21 @@
 	}
 }
 
-// compatibilityEntries are entries of each kind; the last index is 12.
+// compatibilityEntries returns entries of each kind with the indexes 2 to 12.
 func compatibilityEntries() []consensus.Entry {
 	entries := []consensus.Entry{
 		{Term: 2, Index: 2, Kind: consensus.EntryNoop, Data: []byte{}},
 		{Term: 2, Index: 3, Kind: consensus.EntryMembership, Data: []byte{}, Members: compatibilityMembers()},
 	}
 	for index := uint64(4); index <= 12; index++ {
-		entries = append(entries, consensus.Entry{Term: 3, Index: index, Kind: consensus.EntryCommand, Data: bytes.Repeat([]byte{byte(index)}, 40)})
+		data := bytes.Repeat([]byte{byte(index)}, 40)
+		entries = append(entries, consensus.Entry{Term: 3, Index: index, Kind: consensus.EntryCommand, Data: data})
 	}
 	return entries
 }
 
-// writeLog writes a founding state, entries in two writes, and a snapshot at an index if it is not 0.
+// writeLog writes a log with a bootstrap snapshot and entries in two batches, and compacts it at the index compactAt unless
+// that is 0.
 func writeLog(t *testing.T, directory string, compactAt uint64) {
 	t.Helper()
 	log, _, err := seglog.Open(seglog.Options{Directory: directory, SegmentBytes: compatibilitySegmentBytes})
@@ -67,36 +70,36 @@
 	}
 }
 
-// compatibilityLogs are the logs of the fixture: the index of their snapshot by the folder's name.
+// compatibilityLogs returns the logs of the fixture: the compaction index for writeLog, by directory name.
 func compatibilityLogs() map[string]uint64 { return map[string]uint64{"whole": 0, "compacted": 8} }
 
-// writeMember draws a member ID for an empty disk.
+// writeMember creates a member ID in an empty directory.
 func writeMember(t *testing.T, directory string) {
 	t.Helper()
-	draw := func() consensus.MemberID { return compatibilityMember }
-	if id, created, err := seglog.LoadOrCreateMemberID(nil, directory, draw); err != nil || !created || id != compatibilityMember {
-		t.Fatal(id, created, err)
+	newID := func() consensus.MemberID { return compatibilityMember }
+	if id, created, err := seglog.LoadOrCreateMemberID(nil, directory, newID); err != nil || !created || id != compatibilityMember {
+		t.Fatalf("got member ID %d, created %t, error %v; want %d, true, nil", id, created, err, compatibilityMember)
 	}
 }
 
-// filesOf returns the contents of a folder's files by their names.
-func filesOf(t *testing.T, directory string) map[string][]byte {
+// readFiles returns the contents of the files in a directory by file name.
+func readFiles(t *testing.T, directory string) map[string][]byte {
 	t.Helper()
-	listed, err := os.ReadDir(directory)
+	entries, err := os.ReadDir(directory)
 	if err != nil {
 		t.Fatal(err)
 	}
 	files := map[string][]byte{}
-	for _, one := range listed {
-		if files[one.Name()], err = os.ReadFile(filepath.Join(directory, one.Name())); err != nil {
+	for _, entry := range entries {
+		if files[entry.Name()], err = os.ReadFile(filepath.Join(directory, entry.Name())); err != nil {
 			t.Fatal(err)
 		}
 	}
 	return files
 }
 
-// copyOf copies a fixture's folder, so that opening it changes nothing there.
-func copyOf(t *testing.T, name string) string {
+// copyFixture copies a directory of the fixture, so that opening the copy leaves the fixture unchanged.
+func copyFixture(t *testing.T, name string) string {
 	t.Helper()
 	directory := t.TempDir()
 	if err := os.CopyFS(directory, os.DirFS(filepath.Join(compatibilityFolder, name))); err != nil {
@@ -116,23 +119,23 @@
 			Snapshot: consensus.Snapshot{Index: 8, Term: 3, Members: compatibilityMembers(), Data: []byte("state of the machine")},
 		},
 	} {
-		log, stored, err := seglog.Open(seglog.Options{Directory: copyOf(t, name)})
+		log, stored, err := seglog.Open(seglog.Options{Directory: copyFixture(t, name)})
 		if err != nil {
-			t.Fatal(name, err)
+			t.Fatalf("open %s: %v", name, err)
 		}
 		if !reflect.DeepEqual(stored, want) {
-			t.Errorf("%s: read %+v, want %+v", name, stored, want)
+			t.Errorf("%s: recovered %+v, want %+v", name, stored, want)
 		}
 		if err := log.Close(); err != nil {
-			t.Error(name, err)
+			t.Errorf("close %s: %v", name, err)
 		}
 	}
 }
 
 func TestLoadOrCreateMemberID_readsVersion8782861(t *testing.T) {
-	id, created, err := seglog.LoadOrCreateMemberID(nil, copyOf(t, "member"), func() consensus.MemberID { return 1 })
+	id, created, err := seglog.LoadOrCreateMemberID(nil, copyFixture(t, "member"), func() consensus.MemberID { return 1 })
 	if err != nil || created || id != compatibilityMember {
-		t.Errorf("read %d, created %v, %v", id, created, err)
+		t.Errorf("got member ID %d, created %t, error %v; want %d, false, nil", id, created, err, compatibilityMember)
 	}
 }
 
@@ -144,9 +147,9 @@
 		writeLog(t, written[name], compactAt)
 	}
 	for name, directory := range written {
-		files, fixture := filesOf(t, directory), filesOf(t, filepath.Join(compatibilityFolder, name))
+		files, fixture := readFiles(t, directory), readFiles(t, filepath.Join(compatibilityFolder, name))
 		if !reflect.DeepEqual(files, fixture) {
-			t.Errorf("%s: wrote %q, the fixture holds %q", name, files, fixture)
+			t.Errorf("%s: wrote %q, want the content of the fixture %q", name, files, fixture)
 		}
 	}
 }
--- a/coord/seglog/corruption_test.go
+++ b/coord/seglog/corruption_test.go
@@ -13,15 +13,20 @@
 	"ospreybend/coord/seglog/seglogtest"
 )
 
-var emptyDisk consensus.PersistedState
+// emptyState is the state recovered from an empty disk.
+var emptyState consensus.PersistedState
 
-// populatedDisk is a disk with a history of calls, and its files.
+// flippedBits is the mask with which tests corrupt a byte.
+const flippedBits = 0x41
+
+// populatedDisk is a disk after a random workload, with the history of that workload and the contents of its files.
 type populatedDisk struct {
 	disk     *seglogtest.MemoryDisk
 	expected *history
 	files    map[string][]byte
 }
 
+// populateDisk makes a number of random calls on a log on an empty disk.
 func populateDisk(t *testing.T, seed uint64, calls int) populatedDisk {
 	t.Helper()
 	disk := seglogtest.NewMemoryDisk()
@@ -30,10 +35,11 @@
 	if err := runUntilFailure(log, workload{random: newRandom(seed)}, expected, calls); err != nil {
 		t.Fatal(err)
 	}
-	return populatedDisk{disk: disk, expected: expected, files: contents(t, disk)}
+	return populatedDisk{disk: disk, expected: expected, files: readAllFiles(t, disk)}
 }
 
-func contents(t *testing.T, disk *seglogtest.MemoryDisk) map[string][]byte {
+// readAllFiles returns the contents of all files of the log by file name.
+func readAllFiles(t *testing.T, disk *seglogtest.MemoryDisk) map[string][]byte {
 	t.Helper()
 	files, err := disk.List(directory)
 	if err != nil {
@@ -50,11 +56,11 @@
 	return all
 }
 
-func (w populatedDisk) segments() []string { return w.withSuffix(".segment") }
+func (p populatedDisk) segmentNames() []string { return p.namesWithSuffix(".segment") }
 
-func (w populatedDisk) withSuffix(suffix string) []string {
+func (p populatedDisk) namesWithSuffix(suffix string) []string {
 	var names []string
-	for name := range w.files {
+	for name := range p.files {
 		if strings.HasSuffix(name, suffix) {
 			names = append(names, name)
 		}
@@ -62,113 +68,115 @@
 	return names
 }
 
-// with returns a copy of the disk with other content in one file.
-func (w populatedDisk) with(name string, data []byte) *seglogtest.MemoryDisk {
-	changed := w.disk.Clone()
-	changed.WriteFile(filepath.Join(directory, name), data)
-	return changed
+// cloneWithFile returns a copy of the disk with other content in one file.
+func (p populatedDisk) cloneWithFile(name string, data []byte) *seglogtest.MemoryDisk {
+	clone := p.disk.Clone()
+	clone.WriteFile(filepath.Join(directory, name), data)
+	return clone
 }
 
-// TestOpen_truncatedSegment truncates each segment at each byte. Of the last segment all states passed through are prefixes, and
-// the recovered state must be one of them. Without a part of an earlier segment the log lacks what was acknowledged: Open must
-// return ErrCorrupt.
+// TestOpen_truncatedSegment truncates each segment at each byte. If it is the last segment, Open must recover one of the
+// states that the log has passed through. If it is an earlier one, acknowledged records are missing and Open must return
+// ErrCorrupt.
 func TestOpen_truncatedSegment(t *testing.T) {
 	for seed := range uint64(3) {
-		written := populateDisk(t, seed, 8)
-		written.expected.acknowledged = 0
-		for _, name := range written.segments() {
-			for length := range written.files[name] {
-				checkAlteredSegment(t, written, name, written.files[name][:length])
+		populated := populateDisk(t, seed, 8)
+		populated.expected.acknowledged = 0
+		for _, name := range populated.segmentNames() {
+			for length := range populated.files[name] {
+				checkAlteredSegment(t, populated, name, populated.files[name][:length])
 			}
 		}
 	}
 }
 
-// TestOpen_corruptSegment changes each byte of each segment, with the same expectations as TestOpen_truncatedSegment.
+// TestOpen_corruptSegment corrupts each byte of each segment, with the same expectations as TestOpen_truncatedSegment.
 func TestOpen_corruptSegment(t *testing.T) {
 	for seed := range uint64(3) {
-		written := populateDisk(t, seed, 8)
-		written.expected.acknowledged = 0
-		for _, name := range written.segments() {
-			for position := range written.files[name] {
-				data := bytes.Clone(written.files[name])
-				data[position] ^= 0x41
-				checkAlteredSegment(t, written, name, data)
+		populated := populateDisk(t, seed, 8)
+		populated.expected.acknowledged = 0
+		for _, name := range populated.segmentNames() {
+			for position := range populated.files[name] {
+				data := bytes.Clone(populated.files[name])
+				data[position] ^= flippedBits
+				checkAlteredSegment(t, populated, name, data)
 			}
 		}
 	}
 }
 
-// TestOpen_missingSegment removes each segment but the last.
+// TestOpen_missingSegment removes each segment. Unless it is the last one, Open must return ErrCorrupt.
 func TestOpen_missingSegment(t *testing.T) {
 	for seed := range uint64(3) {
-		written := populateDisk(t, seed, 8)
-		for _, name := range written.segments() {
-			disk := written.disk.Clone()
+		populated := populateDisk(t, seed, 8)
+		for _, name := range populated.segmentNames() {
+			disk := populated.disk.Clone()
 			if err := disk.Remove(filepath.Join(directory, name)); err != nil {
 				t.Fatal(err)
 			}
-			if _, _, err := open(disk); !written.isLast(name) && !errors.Is(err, seglog.ErrCorrupt) {
-				t.Fatalf("without %s: %v", name, err)
+			if _, _, err := open(disk); !populated.isLast(name) && !errors.Is(err, seglog.ErrCorrupt) {
+				t.Fatalf("open without segment %s: got error %v, want ErrCorrupt", name, err)
 			}
 		}
 	}
 }
 
-// isLast reports whether no segment follows the one of the name.
-func (w populatedDisk) isLast(name string) bool { return name == slices.Max(w.segments()) }
+// isLast reports whether no segment follows the named one.
+func (p populatedDisk) isLast(name string) bool { return name == slices.Max(p.segmentNames()) }
 
-// checkAlteredSegment opens the disk with other content in one segment.
-func checkAlteredSegment(t *testing.T, written populatedDisk, name string, data []byte) {
+// checkAlteredSegment opens the disk with other content in one segment: a log whose last segment is altered must yield a
+// valid state, any other must be rejected.
+func checkAlteredSegment(t *testing.T, populated populatedDisk, name string, data []byte) {
 	t.Helper()
-	if written.isLast(name) {
-		checkPrefix(t, written, name, data)
+	if populated.isLast(name) {
+		checkRecoveredPrefix(t, populated, name, data)
 		return
 	}
-	if _, _, err := open(written.with(name, data)); !errors.Is(err, seglog.ErrCorrupt) {
-		t.Fatalf("%s with %d bytes: %v", name, len(data), err)
+	if _, _, err := open(populated.cloneWithFile(name, data)); !errors.Is(err, seglog.ErrCorrupt) {
+		t.Fatalf("open with %d bytes in %s: got error %v, want ErrCorrupt", len(data), name, err)
 	}
 }
 
-// checkPrefix opens the altered disk, then writes to it and opens it again.
-func checkPrefix(t *testing.T, written populatedDisk, name string, data []byte) {
+// checkRecoveredPrefix opens the altered disk, writes to the log and opens it again.
+func checkRecoveredPrefix(t *testing.T, populated populatedDisk, name string, data []byte) {
 	t.Helper()
-	disk := written.with(name, data)
+	disk := populated.cloneWithFile(name, data)
 	log, stored := mustOpen(t, disk)
-	if err := written.expected.check(stored); err != nil {
-		t.Fatalf("%s with %d bytes: %v", name, len(data), err)
+	if err := populated.expected.check(stored); err != nil {
+		t.Fatalf("open with %d bytes in %s: %v", len(data), name, err)
 	}
 	expected := newHistory(stored)
 	if err := runUntilFailure(log, workload{random: newRandom(uint64(len(data)))}, expected, 2); err != nil {
 		t.Fatal(err)
 	}
-	_, again := mustOpen(t, disk)
-	if err := expected.check(again); err != nil {
-		t.Fatalf("%s with %d bytes, after more calls: %v", name, len(data), err)
+	_, second := mustOpen(t, disk)
+	if err := expected.check(second); err != nil {
+		t.Fatalf("open again, with %d bytes in %s and after more calls: %v", len(data), name, err)
 	}
 }
 
-// TestOpen_truncatedLastBatch checks that a truncation in the last batch preserves all batches before it.
+// TestOpen_truncatedLastBatch truncates the segment at each byte of the last batch: all earlier batches must be recovered.
 func TestOpen_truncatedLastBatch(t *testing.T) {
 	disk := seglogtest.NewMemoryDisk()
 	log, stored := mustOpen(t, disk)
 	expected := newHistory(stored)
 	saveEntries(t, log, expected, 1, 2)
 	name := seglogtest.SingleFile(disk, directory)
-	synced, _ := disk.ReadFile(name)
+	before, _ := disk.ReadFile(name)
 	saveEntries(t, log, expected, 3, 3)
-	complete, _ := disk.ReadFile(name)
-	expected.acknowledged = 2 // states: empty disk, entry 1, entry 2
-	for length := len(synced); length < len(complete); length++ {
+	after, _ := disk.ReadFile(name)
+	expected.acknowledged = 2 // positions of the states: 0: empty disk, 1: entry 1, 2: entry 2
+	for length := len(before); length < len(after); length++ {
 		torn := disk.Clone()
-		torn.WriteFile(name, complete[:length])
+		torn.WriteFile(name, after[:length])
 		_, recovered := mustOpen(t, torn)
 		if err := expected.check(recovered); err != nil {
-			t.Fatal(err)
+			t.Fatalf("segment truncated to %d of %d bytes: %v", length, len(after), err)
 		}
 	}
 }
 
+// saveEntries saves a batch with the entries from first to last.
 func saveEntries(t *testing.T, log *seglog.Log, expected *history, first, last uint64) {
 	t.Helper()
 	request := &consensus.PersistRequest{}
@@ -183,84 +191,89 @@
 	expected.acknowledge()
 }
 
-// TestOpen_corruptSnapshot truncates and changes the snapshot at each byte: Open must return ErrCorrupt.
+// TestOpen_corruptSnapshot truncates and corrupts the snapshot at each byte: Open must return ErrCorrupt.
 func TestOpen_corruptSnapshot(t *testing.T) {
-	written := writeWithSnapshot(t)
-	name := written.withSuffix(".snapshot")[0]
-	for length := range written.files[name] {
-		if _, _, err := open(written.with(name, written.files[name][:length])); !errors.Is(err, seglog.ErrCorrupt) {
-			t.Fatalf("truncated to %d bytes: %v", length, err)
+	populated := populateDiskWithSnapshot(t)
+	name := populated.namesWithSuffix(".snapshot")[0]
+	for length := range populated.files[name] {
+		if _, _, err := open(populated.cloneWithFile(name, populated.files[name][:length])); !errors.Is(err, seglog.ErrCorrupt) {
+			t.Fatalf("snapshot truncated to %d bytes: got error %v, want ErrCorrupt", length, err)
 		}
-		data := bytes.Clone(written.files[name])
-		data[length] ^= 0x41
-		if _, _, err := open(written.with(name, data)); !errors.Is(err, seglog.ErrCorrupt) {
-			t.Fatalf("byte %d changed: %v", length, err)
+		data := bytes.Clone(populated.files[name])
+		data[length] ^= flippedBits
+		if _, _, err := open(populated.cloneWithFile(name, data)); !errors.Is(err, seglog.ErrCorrupt) {
+			t.Fatalf("byte %d of the snapshot corrupted: got error %v, want ErrCorrupt", length, err)
 		}
 	}
 }
 
-// TestOpen_ignoresTemporarySnapshot leaves a temporary file of every length.
+// TestOpen_ignoresTemporarySnapshot adds a temporary snapshot file of each length: Open must ignore and remove it.
 func TestOpen_ignoresTemporarySnapshot(t *testing.T) {
-	written := writeWithSnapshot(t)
-	snapshot := written.files[written.withSuffix(".snapshot")[0]]
+	populated := populateDiskWithSnapshot(t)
+	snapshot := populated.files[populated.namesWithSuffix(".snapshot")[0]]
 	for length := range snapshot {
-		disk := written.with("snapshot.temporary", snapshot[:length])
+		disk := populated.cloneWithFile("snapshot.temporary", snapshot[:length])
 		_, stored := mustOpen(t, disk)
-		if err := written.expected.check(stored); err != nil {
-			t.Fatal(err)
+		if err := populated.expected.check(stored); err != nil {
+			t.Fatalf("temporary snapshot of %d bytes: %v", length, err)
 		}
-		if _, left := contents(t, disk)["snapshot.temporary"]; left {
-			t.Fatal("the temporary file is still there")
+		if _, exists := readAllFiles(t, disk)["snapshot.temporary"]; exists {
+			t.Fatalf("temporary snapshot of %d bytes: Open has not removed it", length)
 		}
 	}
 }
 
-func writeWithSnapshot(t *testing.T) populatedDisk {
+// populateDiskWithSnapshot returns the first populated disk that contains a snapshot.
+func populateDiskWithSnapshot(t *testing.T) populatedDisk {
 	t.Helper()
 	for seed := range uint64(100) {
-		written := populateDisk(t, seed, 10)
-		if len(written.withSuffix(".snapshot")) == 1 {
-			return written
+		populated := populateDisk(t, seed, 10)
+		if len(populated.namesWithSuffix(".snapshot")) == 1 {
+			return populated
 		}
 	}
-	t.Fatal("no workload has a snapshot")
+	t.Fatal("none of 100 workloads left a snapshot on the disk")
 	return populatedDisk{}
 }
 
-// TestOpen_ignoresReappearedObsoleteFiles puts back random sets of segments and snapshots that were removed before.
+// TestOpen_ignoresReappearedObsoleteFiles restores random sets of removed segments and snapshots, as a power loss may do:
+// Open must ignore them.
 func TestOpen_ignoresReappearedObsoleteFiles(t *testing.T) {
 	for seed := range uint64(6) {
 		disk := seglogtest.NewMemoryDisk()
 		log, stored := mustOpen(t, disk)
 		expected := newHistory(stored)
-		seen := map[string][]byte{}
+		everWritten := map[string][]byte{}
 		calls := workload{random: newRandom(seed)}
 		for range 25 {
 			if err := runUntilFailure(log, calls, expected, 1); err != nil {
 				t.Fatal(err)
 			}
-			for name, data := range contents(t, disk) {
-				seen[name] = data
+			for name, data := range readAllFiles(t, disk) {
+				everWritten[name] = data
 			}
 		}
-		checkReappearedFiles(t, disk, expected, seen, seed)
+		checkReappearedFiles(t, disk, expected, everWritten, seed)
 	}
 }
 
-func checkReappearedFiles(t *testing.T, disk *seglogtest.MemoryDisk, expected *history, seen map[string][]byte, seed uint64) {
+// checkReappearedFiles opens copies of the disk to which random sets of its removed files are restored.
+func checkReappearedFiles(
+	t *testing.T, disk *seglogtest.MemoryDisk, expected *history, everWritten map[string][]byte, seed uint64,
+) {
 	t.Helper()
 	random := newRandom(seed)
-	present := contents(t, disk)
+	present := readAllFiles(t, disk)
 	for range 40 {
 		restored := disk.Clone()
-		for name, data := range seen {
-			if _, there := present[name]; !there && random.IntN(2) == 0 && name != "snapshot.temporary" {
+		for name, data := range everWritten {
+			if _, exists := present[name]; !exists && random.IntN(2) == 0 && name != "snapshot.temporary" {
 				restored.WriteFile(filepath.Join(directory, name), data)
 			}
 		}
 		_, stored := mustOpen(t, restored)
 		if err := expected.check(stored); err != nil {
-			t.Fatal(err)
+			t.Fatalf("workload %d with restored files: %v", seed, err)
 		}
 	}
 }
--- a/coord/seglog/encoding.go
+++ b/coord/seglog/encoding.go
@@ -12,8 +12,8 @@
 // errRecordTooLong means that an entry or a snapshot exceeds maxRecordBytes.
 var errRecordTooLong = errors.New("seglog: the entry or snapshot is too long")
 
-// The stored types mirror the Avro schemas below. Avro has only signed integers, so uint64 values are stored as int64 values
-// with the same bits.
+// The stored types mirror the Avro schemas below. Avro has only signed integers, so uint64 values are stored as int64
+// values with the same bits.
 
 type storedMember struct {
 	ID      int64  `avro:"id"`
@@ -127,9 +127,9 @@
 	return consensus.HardState{Term: uint64(stored.Term), Vote: consensus.MemberID(stored.Vote), Commit: uint64(stored.Commit)}
 }
 
-// toStoredMembers converts members to their stored form. A retired ID is stored as a learner without an address; actual members
-// always have an address. Program versions that predate retired IDs treat it as an unreachable member and remove it after a
-// while.
+// toStoredMembers converts members to their stored form. A retired ID is stored as a learner without an address; actual
+// members always have an address. Program versions that predate retired IDs treat it as an unreachable member and remove it
+// after a while.
 func toStoredMembers(members []consensus.Member) []storedMember {
 	stored := make([]storedMember, len(members))
 	for i, member := range members {
--- a/coord/seglog/example_test.go
+++ b/coord/seglog/example_test.go
@@ -8,7 +8,7 @@
 	"ospreybend/coord/seglog/seglogtest"
 )
 
-// ExampleLog_Save makes an entry and a vote durable, loses power, and recovers both.
+// ExampleLog_Save saves an entry and a vote, and recovers both after a power loss.
 func ExampleLog_Save() {
 	disk := seglogtest.NewMemoryDisk()
 	options := seglog.Options{FileSystem: disk, Directory: "group"}
--- a/coord/seglog/exhaustive_test.go
+++ b/coord/seglog/exhaustive_test.go
@@ -13,25 +13,25 @@
 	"ospreybend/coord/seglog/seglogtest"
 )
 
-// The calls from which all short sequences are made.
+// Calls of the log, each written as one letter, of which the tests make all short sequences.
 const (
-	callAppend   = 'a' // one entry
-	callReplace  = 'r' // the last entry, by one of a later term
-	callVote     = 'v' // a hard state
-	callCompact  = 'c' // a local snapshot of all
-	callInstall  = 's' // a received snapshot beyond the log
-	callAlphabet = "arvcs"
-	sequenceSize = 3
-	tinySegment  = 60 // bytes, so that each record fills a segment
+	callAppend       = 'a' // appends one entry
+	callReplace      = 'r' // replaces the last entry by one of a later term
+	callVote         = 'v' // saves a hard state
+	callCompact      = 'c' // compacts the log with a local snapshot at the last entry
+	callInstall      = 's' // saves a received snapshot that is newer than the log
+	allCalls         = "arvcs"
+	sequenceLength   = 3
+	tinySegmentBytes = 60 // so small that each record fills a segment
 )
 
-// sequences returns all sequences of calls of a length, each after two appended entries.
+// sequences returns all sequences of the given number of calls, each preceded by two appended entries.
 func sequences(length int) []string {
 	all := []string{"aa"}
 	for range length {
 		var longer []string
 		for _, prefix := range all {
-			for _, call := range callAlphabet {
+			for _, call := range allCalls {
 				longer = append(longer, prefix+string(call))
 			}
 		}
@@ -40,7 +40,8 @@
 	return all
 }
 
-// operationFor returns the operation that a call's letter stands for in the given state.
+// operationFor returns the operation that a call stands for in the given state. A call that needs an entry appends one if
+// there is none.
 func operationFor(call rune, state consensus.PersistedState) operation {
 	last, term := lastIndex(state), max(lastTerm(state), 1)
 	entry := func(index, term uint64) operation {
@@ -48,7 +49,8 @@
 		return operation{batch: []*consensus.PersistRequest{{Entries: entries}}}
 	}
 	snapshot := func(index, term uint64) *consensus.Snapshot {
-		return &consensus.Snapshot{Index: index, Term: term, Members: []consensus.Member{{ID: 1, Voter: true}}, Data: []byte{byte(index)}}
+		members := []consensus.Member{{ID: 1, Voter: true}}
+		return &consensus.Snapshot{Index: index, Term: term, Members: members, Data: []byte{byte(index)}}
 	}
 	switch {
 	case call == callVote:
@@ -57,23 +59,23 @@
 	case call == callCompact && len(state.Entries) > 0:
 		return operation{compact: snapshot(last, lastTerm(state))}
 	case call == callInstall:
-		hard := state.HardState
-		hard.Term++
-		return operation{batch: []*consensus.PersistRequest{{Snapshot: snapshot(last+2, term+1), HardState: &hard}}}
+		hardState := state.HardState
+		hardState.Term++
+		return operation{batch: []*consensus.PersistRequest{{Snapshot: snapshot(last+2, term+1), HardState: &hardState}}}
 	case call == callReplace && len(state.Entries) > 0:
 		return entry(last, term+1)
 	}
 	return entry(last+1, term)
 }
 
-// tinyLog opens a log whose segments contain one record each.
-func tinyLog(disk *seglogtest.MemoryDisk, omit ...seglog.Guard) (*seglog.Log, consensus.PersistedState, error) {
-	return seglog.Open(seglog.Options{FileSystem: disk, Directory: directory, SegmentBytes: tinySegment, OmitGuards: omit})
+// openWithTinySegments opens a log that fills a segment with each record.
+func openWithTinySegments(disk *seglogtest.MemoryDisk, omit ...seglog.Guard) (*seglog.Log, consensus.PersistedState, error) {
+	return seglog.Open(seglog.Options{FileSystem: disk, Directory: directory, SegmentBytes: tinySegmentBytes, OmitGuards: omit})
 }
 
-// runCalls makes the calls until one fails, and calls passed, if not nil, after each.
-func runCalls(disk *seglogtest.MemoryDisk, calls string, passed func(), omit ...seglog.Guard) (*history, error) {
-	log, stored, err := tinyLog(disk, omit...)
+// runCalls opens a log and makes the calls until one fails. It calls afterCall, if not nil, after each of them.
+func runCalls(disk *seglogtest.MemoryDisk, calls string, afterCall func(), omit ...seglog.Guard) (*history, error) {
+	log, stored, err := openWithTinySegments(disk, omit...)
 	expected := newHistory(stored)
 	for _, call := range calls {
 		if err != nil {
@@ -84,26 +86,27 @@
 		if err = runOperation(log, operation); err == nil {
 			expected.acknowledge()
 		}
-		if passed != nil {
-			passed()
+		if afterCall != nil {
+			afterCall()
 		}
 	}
 	return expected, err
 }
 
-// powerLossCheck counts what was checked.
-type powerLossCheck struct{ moments, outcomes int }
+// powerLossCheck counts the power losses that were simulated and the resulting disk states that were checked.
+type powerLossCheck struct{ powerLosses, diskStates int }
 
-// checkSequence loses power before each operation of the disk, with all outcomes, and opens the disk twice: what was
-// acknowledged must be there, and what was recovered once must be recovered again whatever a second power loss leaves.
-func (l *powerLossCheck) checkSequence(calls string, omit ...seglog.Guard) error {
+// checkSequence repeats the calls with a power loss, and with a process restart, before each disk operation. For each
+// outcome of the power loss, everything acknowledged must be recovered, and a second power loss must not change the
+// recovered state.
+func (c *powerLossCheck) checkSequence(calls string, omit ...seglog.Guard) error {
 	for operations := int64(0); ; operations++ {
 		disk := seglogtest.NewMemoryDisk()
 		disk.RemainingOperations = operations
 		expected, failure := runCalls(disk, calls, nil, omit...)
-		l.moments++
+		c.powerLosses++
 		err := disk.ForEachPowerLoss(func(lost *seglogtest.MemoryDisk) error {
-			l.outcomes++
+			c.diskStates++
 			return checkTwoRecoveries(lost, expected, omit...)
 		})
 		if err == nil {
@@ -120,8 +123,10 @@
 	}
 }
 
+// checkTwoRecoveries opens the log, and opens it again after each outcome of a power loss: the first state must contain
+// everything acknowledged, and the second must be the same.
 func checkTwoRecoveries(disk *seglogtest.MemoryDisk, expected *history, omit ...seglog.Guard) error {
-	_, first, err := tinyLog(disk, omit...)
+	_, first, err := openWithTinySegments(disk, omit...)
 	if err != nil {
 		return errors.Join(errNotRecovered, err)
 	}
@@ -129,43 +134,45 @@
 		return err
 	}
 	return disk.ForEachPowerLoss(func(lost *seglogtest.MemoryDisk) error {
-		_, second, err := tinyLog(lost, omit...)
+		_, second, err := openWithTinySegments(lost, omit...)
 		if err != nil {
 			return errors.Join(errNotRecovered, err)
 		}
 		if stateText(first) != stateText(second) {
-			return fmt.Errorf("first %s\nthen %s", stateText(first), stateText(second))
+			return fmt.Errorf("first recovery %s\nsecond recovery %s", stateText(first), stateText(second))
 		}
 		return nil
 	})
 }
 
-// TestOpen_afterEachDirectoryOutcome runs all sequences of calls, stops each before each operation of the disk, and persists or
+// TestOpen_afterEachDirectoryOutcome runs all sequences of calls, loses power before each disk operation, and persists or
 // loses each unsynced directory change independently.
 func TestOpen_afterEachDirectoryOutcome(t *testing.T) {
-	played := powerLossCheck{}
-	for _, calls := range sequences(sequenceSize) {
-		if err := played.checkSequence(calls); err != nil {
+	check := powerLossCheck{}
+	for _, calls := range sequences(sequenceLength) {
+		if err := check.checkSequence(calls); err != nil {
 			t.Fatal(err)
 		}
 	}
-	t.Logf("%d sequences, %d moments, %d outcomes", len(sequences(sequenceSize)), played.moments, played.outcomes)
+	t.Logf("%d call sequences, %d power losses, %d disk states",
+		len(sequences(sequenceLength)), check.powerLosses, check.diskStates)
 }
 
-// TestLog_failedOperationThenPowerLoss fails each operation of each sequence once, retries the call as its callers do, continues
-// the sequence, and then loses power with all outcomes.
+// TestLog_failedOperationThenPowerLoss fails each disk operation of each sequence once, retries the failed call as the
+// callers of the log do, continues the sequence, and checks all outcomes of a power loss after each call.
 func TestLog_failedOperationThenPowerLoss(t *testing.T) {
-	for _, calls := range sequences(sequenceSize - 1) {
+	for _, calls := range sequences(sequenceLength - 1) {
 		if err := failEachOperation(calls); err != nil {
 			t.Fatal(err)
 		}
 	}
 }
 
+// failEachOperation runs the calls, followed by an append and a vote, once for each disk operation, which fails.
 func failEachOperation(calls string, omit ...seglog.Guard) error {
 	for position := int64(1); ; position++ {
 		disk := seglogtest.NewMemoryDisk()
-		log, stored, err := tinyLog(disk, omit...)
+		log, stored, err := openWithTinySegments(disk, omit...)
 		if err != nil {
 			return err
 		}
@@ -193,37 +200,38 @@
 	}
 }
 
-// diskMoment is the directory and the state at one moment of a sequence.
-type diskMoment struct {
+// diskImage is the content of the directory, and the state stored in it, after one call of a sequence.
+type diskImage struct {
 	files map[string][]byte
 	state consensus.PersistedState
 }
 
-// momentsAfterEachCall returns the directory and the state after each call.
-func momentsAfterEachCall(t *testing.T, calls string) []diskMoment {
+// imagesAfterEachCall runs the calls and returns the disk image after each of them.
+func imagesAfterEachCall(t *testing.T, calls string) []diskImage {
 	t.Helper()
 	disk := seglogtest.NewMemoryDisk()
-	var folders []map[string][]byte
-	expected, err := runCalls(disk, calls, func() { folders = append(folders, contents(t, disk)) })
+	var directories []map[string][]byte
+	expected, err := runCalls(disk, calls, func() { directories = append(directories, readAllFiles(t, disk)) })
 	if err != nil {
 		t.Fatal(err)
 	}
-	var moments []diskMoment
-	for at, folder := range folders {
-		state, err := runCalls(seglogtest.NewMemoryDisk(), calls[:at+1], nil)
+	var images []diskImage
+	for i, files := range directories {
+		state, err := runCalls(seglogtest.NewMemoryDisk(), calls[:i+1], nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		moments = append(moments, diskMoment{files: folder, state: state.last()})
+		images = append(images, diskImage{files: files, state: state.last()})
 	}
-	if stateText(expected.last()) != stateText(moments[len(moments)-1].state) {
-		t.Fatal("the same calls give other states")
+	if stateText(expected.last()) != stateText(images[len(images)-1].state) {
+		t.Fatalf("calls %s, run twice: first state %s, second state %s",
+			calls, stateText(expected.last()), stateText(images[len(images)-1].state))
 	}
-	return moments
+	return images
 }
 
-// combineMoments returns a disk with the segments of one moment and the snapshots of another.
-func combineMoments(segments, snapshots diskMoment) *seglogtest.MemoryDisk {
+// combineImages returns a disk with the segments of one image and the snapshots of another.
+func combineImages(segments, snapshots diskImage) *seglogtest.MemoryDisk {
 	disk := seglogtest.NewMemoryDisk()
 	for name, data := range segments.files {
 		if strings.HasSuffix(name, ".segment") {
@@ -238,58 +246,59 @@
 	return disk
 }
 
-// TestOpen_segmentsAndSnapshotOfDifferentMoments combines the segments of each moment of each sequence with the snapshot of each
-// other moment. Such a disk is rejected, or it yields a state that the log has passed through, with the snapshot's state at
-// least; a log that is newer than its snapshot never yields less than its segments contain.
+// TestOpen_segmentsAndSnapshotOfDifferentMoments combines the segments of each disk image of a sequence with the snapshot
+// of each image. Open must reject such a disk or recover a state that the log has passed through and that is not older than
+// the snapshot. Segments that are newer than the snapshot must be recovered completely.
 func TestOpen_segmentsAndSnapshotOfDifferentMoments(t *testing.T) {
 	rejected, accepted := 0, 0
-	for _, calls := range sequences(sequenceSize + 1) {
-		moments := momentsAfterEachCall(t, calls)
-		for log := range moments {
-			for snapshot := range moments {
-				_, found, err := tinyLog(combineMoments(moments[log], moments[snapshot]))
+	for _, calls := range sequences(sequenceLength + 1) {
+		images := imagesAfterEachCall(t, calls)
+		for log := range images {
+			for snapshot := range images {
+				_, recovered, err := openWithTinySegments(combineImages(images[log], images[snapshot]))
 				switch {
 				case errors.Is(err, seglog.ErrCorrupt):
 					rejected++
 					if log == snapshot {
-						t.Fatalf("%s: the directory of moment %d is rejected: %v", calls, log, err)
+						t.Fatalf("calls %s: the unchanged disk after call %d is rejected: %v", calls, log, err)
 					}
 				case err != nil:
-					t.Fatal(err)
+					t.Fatalf("calls %s, segments after call %d, snapshot after call %d: %v", calls, log, snapshot, err)
 				default:
 					accepted++
-					if err := checkMixed(moments, log, snapshot, found); err != nil {
-						t.Fatalf("calls %s, segments of %d, snapshot of %d: %v", calls, log, snapshot, err)
+					if err := checkCombined(images, log, snapshot, recovered); err != nil {
+						t.Fatalf("calls %s, segments after call %d, snapshot after call %d: %v", calls, log, snapshot, err)
 					}
 				}
 			}
 		}
 	}
-	t.Logf("%d directories were rejected, %d accepted", rejected, accepted)
+	t.Logf("%d combinations rejected, %d accepted", rejected, accepted)
 	if rejected == 0 || accepted == 0 {
-		t.Fatal("one of the two cases did not occur")
+		t.Fatalf("%d combinations rejected, %d accepted; want some of each", rejected, accepted)
 	}
 }
 
-// checkMixed checks the state recovered from combined moments. An older log with a newer snapshot is like the newer log without
-// its end; a newer log with an older snapshot yields everything, or is rejected.
-func checkMixed(moments []diskMoment, log, snapshot int, found consensus.PersistedState) error {
-	if found.Snapshot.Index < moments[snapshot].state.Snapshot.Index {
-		return fmt.Errorf("the snapshot is lost: %s", stateText(found))
+// checkCombined checks the state recovered from combined images that Open has not rejected. Older segments with a newer
+// snapshot are like newer segments without their end. Newer segments with an older snapshot must be recovered completely.
+func checkCombined(images []diskImage, log, snapshot int, recovered consensus.PersistedState) error {
+	if recovered.Snapshot.Index < images[snapshot].state.Snapshot.Index {
+		return fmt.Errorf("recovered %s, which lacks the snapshot at index %d",
+			stateText(recovered), images[snapshot].state.Snapshot.Index)
 	}
-	if log > snapshot && moments[log].hasSegments() && !sameEnd(moments[log].state, found) {
-		return fmt.Errorf("found %s\nthe log contained %s", stateText(found), stateText(moments[log].state))
+	if log > snapshot && images[log].hasSegments() && !sameLastEntryAndVote(images[log].state, recovered) {
+		return fmt.Errorf("recovered %s\nwant the last entry, term and vote of %s", stateText(recovered), stateText(images[log].state))
 	}
-	for _, moment := range moments {
-		if sameEnd(moment.state, found) {
+	for _, image := range images {
+		if sameLastEntryAndVote(image.state, recovered) {
 			return nil
 		}
 	}
-	return snapshotAlone(moments, found)
+	return checkSnapshotOnly(images, recovered)
 }
 
-// hasSegments reports whether the directory contains segments: a received snapshot discards all of them.
-func (m diskMoment) hasSegments() bool {
+// hasSegments reports whether the image contains segments. A received snapshot discards all of them.
+func (m diskImage) hasSegments() bool {
 	for name := range m.files {
 		if strings.HasSuffix(name, ".segment") {
 			return true
@@ -298,27 +307,27 @@
 	return false
 }
 
-// sameEnd reports whether two states have the same last entry, term and vote.
-func sameEnd(state, other consensus.PersistedState) bool {
+// sameLastEntryAndVote reports whether two states have the same last entry, term and vote.
+func sameLastEntryAndVote(state, other consensus.PersistedState) bool {
 	return lastIndex(state) == lastIndex(other) && lastTerm(state) == lastTerm(other) &&
 		state.HardState.Term == other.HardState.Term && state.HardState.Vote == other.HardState.Vote
 }
 
-// snapshotAlone accepts the snapshot of a moment without any valid segment.
-func snapshotAlone(moments []diskMoment, found consensus.PersistedState) error {
-	same := func(moment diskMoment) bool { return moment.state.Snapshot.Index == found.Snapshot.Index }
-	if len(found.Entries) == 0 && slices.ContainsFunc(moments, same) {
+// checkSnapshotOnly returns an error unless the recovered state consists of the snapshot of an image, without entries.
+func checkSnapshotOnly(images []diskImage, recovered consensus.PersistedState) error {
+	sameSnapshot := func(image diskImage) bool { return image.state.Snapshot.Index == recovered.Snapshot.Index }
+	if len(recovered.Entries) == 0 && slices.ContainsFunc(images, sameSnapshot) {
 		return nil
 	}
-	return fmt.Errorf("found %s, which never existed", stateText(found))
+	return fmt.Errorf("recovered %s, which is not a state of the log after any call", stateText(recovered))
 }
 
-// TestGuards_omissionIsDetected omits each guard of the log.
+// TestGuards_omissionIsDetected omits each guard of the log: the checks of this file must detect it.
 func TestGuards_omissionIsDetected(t *testing.T) {
 	for _, guard := range seglog.Guards() {
 		detected := detectOmission(guard)
 		if detected == nil {
-			t.Errorf("%s: not detected", guard)
+			t.Errorf("no check has detected that guard %s is omitted", guard)
 			continue
 		}
 		t.Logf("%s: %s", guard, strings.SplitN(detected.Error(), "\n", 2)[0])
@@ -335,7 +344,7 @@
 			return err
 		}
 	}
-	for _, calls := range sequences(sequenceSize) {
+	for _, calls := range sequences(sequenceLength) {
 		if err := (&powerLossCheck{}).checkSequence(calls, guard); err != nil {
 			return err
 		}
@@ -343,12 +352,12 @@
 	return nil
 }
 
-// errNotRejected reports a log that was opened although it is corrupt.
-var errNotRejected = errors.New("the log was not rejected as corrupt")
+// errCorruptLogAccepted means that Open has not rejected a corrupt log.
+var errCorruptLogAccepted = errors.New("want ErrCorrupt from Open")
 
-// checkTruncations truncates each segment but the last at each byte: the log must be rejected.
+// checkTruncations truncates each segment except the last at each byte: Open must return ErrCorrupt.
 func checkTruncations(omit ...seglog.Guard) error {
-	for _, calls := range sequences(sequenceSize) {
+	for _, calls := range sequences(sequenceLength) {
 		disk := seglogtest.NewMemoryDisk()
 		if _, err := runCalls(disk, calls, nil, omit...); err != nil {
 			return err
@@ -368,8 +377,9 @@
 			for length := range complete {
 				shorter := disk.Clone()
 				shorter.WriteFile(path, complete[:length])
-				if _, _, err := tinyLog(shorter, omit...); !errors.Is(err, seglog.ErrCorrupt) {
-					return fmt.Errorf("calls %s, %s truncated to %d bytes: %w", calls, file.Name, length, errors.Join(errNotRejected, err))
+				if _, _, err := openWithTinySegments(shorter, omit...); !errors.Is(err, seglog.ErrCorrupt) {
+					return fmt.Errorf("calls %s, %s truncated to %d bytes: %w",
+						calls, file.Name, length, errors.Join(errCorruptLogAccepted, err))
 				}
 			}
 		}
--- a/coord/seglog/guards.go
+++ b/coord/seglog/guards.go
@@ -11,17 +11,17 @@
 	GuardSegmentNameSynced Guard = "name-synced"
 	// GuardFailedWriteTruncated requires that leftovers of a failed write are truncated before the next write.
 	GuardFailedWriteTruncated Guard = "failed-write-cut"
-	// GuardSegmentOrder requires that a segment is accepted only if it continues the segment before it.
-	GuardSegmentOrder Guard = "segment-order"
-	// GuardAllSegments requires that Open rejects a log in which any segment but the last is missing or corrupt.
-	GuardAllSegments Guard = "all-segments"
+	// GuardSegmentContinuity requires that a segment is accepted only if it continues the segment before it.
+	GuardSegmentContinuity Guard = "segment-order"
+	// GuardIncompleteLogRejected requires that Open rejects a log in which any segment but the last is missing or corrupt.
+	GuardIncompleteLogRejected Guard = "all-segments"
 	// GuardObsoleteSegmentsIgnored requires that recovery ignores segments that the snapshot has replaced.
 	GuardObsoleteSegmentsIgnored Guard = "segments-void"
 	// GuardSnapshotRenamedWhenComplete requires that a snapshot is renamed to its final name only after its content is
 	// durable.
 	GuardSnapshotRenamedWhenComplete Guard = "snapshot-whole"
-	// GuardSnapshotNameSynced requires that the files that a snapshot replaces are removed only after its directory entry is
-	// durable.
+	// GuardSnapshotNameSynced requires that the files that a snapshot replaces are removed only after its directory entry
+	// is durable.
 	GuardSnapshotNameSynced Guard = "snapshot-named"
 	// GuardSnapshotHardState requires that a snapshot contains the hard state at the time of the snapshot.
 	GuardSnapshotHardState Guard = "snapshot-vote"
@@ -32,8 +32,9 @@
 // Guards returns all guards.
 func Guards() []Guard {
 	return []Guard{
-		GuardSegmentNameSynced, GuardFailedWriteTruncated, GuardSegmentOrder, GuardAllSegments, GuardObsoleteSegmentsIgnored,
-		GuardSnapshotRenamedWhenComplete, GuardSnapshotNameSynced, GuardSnapshotHardState, GuardRecoverySynced,
+		GuardSegmentNameSynced, GuardFailedWriteTruncated, GuardSegmentContinuity, GuardIncompleteLogRejected,
+		GuardObsoleteSegmentsIgnored, GuardSnapshotRenamedWhenComplete, GuardSnapshotNameSynced, GuardSnapshotHardState,
+		GuardRecoverySynced,
 	}
 }
 
--- a/coord/seglog/log.go
+++ b/coord/seglog/log.go
@@ -40,12 +40,12 @@
 	lastIndex uint64 // index of the last entry, or of the snapshot if no entry follows it
 }
 
-// Errors of a log besides FormatError. Except for an entry or snapshot that is too long, all other errors come from the file
-// system. The call may then be retried with the same requests, optionally followed by more; none of them counts as durable
-// until a call succeeds.
+// Errors of a log besides FormatError. Except for an entry or snapshot that is too long, all other errors come from the
+// file system. The call may then be retried with the same requests, optionally followed by more; none of them counts as
+// durable until a call succeeds.
 var (
-	// ErrCorrupt means that a durable file is missing or its content is invalid. The state of the member is lost, so it must
-	// rejoin its group under a new member ID and with an empty directory.
+	// ErrCorrupt means that a durable file is missing or its content is invalid. The state of the member is lost, so it
+	// must rejoin its group under a new member ID and with an empty directory.
 	ErrCorrupt = errors.New("seglog: a durable file is corrupt")
 	// ErrClosed is returned by calls on a closed log.
 	ErrClosed = errors.New("seglog: the log is closed")
@@ -62,8 +62,9 @@
 	return fmt.Sprintf("seglog: %s has format version %d, but this program supports version %d", e.File, e.Found, e.Supported)
 }
 
-// Save durably stores the requests of the batch, in order. It syncs once if the batch contains no snapshot and starts no new
-// segment. After an error, any prefix of the batch may be on disk, and the next batch must begin with the same requests.
+// Save durably stores the requests of the batch, in order. It syncs once if the batch contains no snapshot and starts no
+// new segment. After an error, any prefix of the batch may be on disk, and the next batch must begin with the same
+// requests.
 func (l *Log) Save(batch []*consensus.PersistRequest) error {
 	if l.closed {
 		return ErrClosed
@@ -81,8 +82,8 @@
 	return l.appendBatch(rest)
 }
 
-// saveSnapshot stores the last snapshot of the batch, if any, together with the hard state as of that request. It returns what
-// remains to be written: the entries of that request and the requests after it.
+// saveSnapshot stores the last snapshot of the batch, if any, together with the hard state as of that request. It returns
+// what remains to be written: the entries of that request and the requests after it.
 func (l *Log) saveSnapshot(batch []*consensus.PersistRequest) ([]*consensus.PersistRequest, error) {
 	last := lastSnapshot(batch)
 	if last < 0 {
@@ -188,8 +189,8 @@
 	l.active = nil
 }
 
-// removeObsoleteFiles removes the files that are no longer required. If that fails for a file, it is tried again at the next
-// call and after a restart. The directory need not be synced: recovery recognizes obsolete files that reappear.
+// removeObsoleteFiles removes the files that are no longer required. If that fails for a file, it is tried again at the
+// next call and after a restart. The directory need not be synced: recovery recognizes obsolete files that reappear.
 func (l *Log) removeObsoleteFiles() {
 	var remaining []string
 	for _, name := range l.obsoleteFiles {
--- a/coord/seglog/member_id.go
+++ b/coord/seglog/member_id.go
@@ -18,9 +18,9 @@
 	memberFileBytes      = memberChecksumOffset + checksumBytes
 )
 
-// LoadOrCreateMemberID reads the member ID of this disk from the directory, which it creates if it is missing. If there is no
-// ID, it durably stores the result of newID, returns it and sets created. A nil file system means OSFileSystem. Errors are
-// FormatError, ErrCorrupt and those of the file system.
+// LoadOrCreateMemberID reads the member ID of this disk from the directory, which it creates if it is missing. If there is
+// no ID, it durably stores the result of newID, returns it and sets created. A nil file system means OSFileSystem. Errors
+// are FormatError, ErrCorrupt and those of the file system.
 func LoadOrCreateMemberID(
 	fileSystem FileSystem, directory string, newID func() consensus.MemberID,
 ) (id consensus.MemberID, created bool, err error) {
@@ -46,8 +46,8 @@
 	return id, false, fileSystem.SyncDirectory(directory)
 }
 
-// RemoveMemberID durably removes the member ID of a disk, which declares the disk lost: RemoveOrphanedReplicas then removes its
-// replicas, and LoadOrCreateMemberID creates a new ID. A nil file system means OSFileSystem.
+// RemoveMemberID durably removes the member ID of a disk, which declares the disk lost: RemoveOrphanedReplicas then removes
+// its replicas, and LoadOrCreateMemberID creates a new ID. A nil file system means OSFileSystem.
 func RemoveMemberID(fileSystem FileSystem, directory string) error {
 	if fileSystem == nil {
 		fileSystem = OSFileSystem{}
@@ -58,10 +58,10 @@
 	return fileSystem.SyncDirectory(directory)
 }
 
-// RemoveOrphanedReplicas removes all files in the given replica directories, and a corrupt member ID file, if the member ID of
-// the disk is missing or corrupt. Such replicas must not be used: the ID under which they voted and acknowledged entries is
-// unknown. lost reports whether anything was removed. RemoveOrphanedReplicas must be called before LoadOrCreateMemberID. A nil
-// file system means OSFileSystem. Errors are FormatError and those of the file system.
+// RemoveOrphanedReplicas removes all files in the given replica directories, and a corrupt member ID file, if the member ID
+// of the disk is missing or corrupt. Such replicas must not be used: the ID under which they voted and acknowledged entries
+// is unknown. lost reports whether anything was removed. RemoveOrphanedReplicas must be called before LoadOrCreateMemberID.
+// A nil file system means OSFileSystem. Errors are FormatError and those of the file system.
 func RemoveOrphanedReplicas(fileSystem FileSystem, directory string, replicas []string) (lost bool, err error) {
 	if fileSystem == nil {
 		fileSystem = OSFileSystem{}
--- a/coord/seglog/model_test.go
+++ b/coord/seglog/model_test.go
@@ -14,16 +14,16 @@
 
 const (
 	directory         = "group"
-	smallSegmentBytes = 250 // so that a few records fill a segment
+	smallSegmentBytes = 250 // so small that a few records fill a segment
 )
 
-// operation is one call of the log.
+// operation is one call of the log: Compact if compact is set, otherwise Save.
 type operation struct {
 	batch   []*consensus.PersistRequest
 	compact *consensus.Snapshot
 }
 
-// statesAfter returns the states that an operation passes through, the last one being its result.
+// statesAfter returns the states that an operation passes through. The last one is its result.
 func statesAfter(before consensus.PersistedState, call operation) []consensus.PersistedState {
 	if call.compact != nil {
 		return []consensus.PersistedState{compacted(before, *call.compact)}
@@ -39,6 +39,7 @@
 	return states
 }
 
+// statesAfterPersist returns the states that one request of a batch passes through.
 func statesAfterPersist(before consensus.PersistedState, request *consensus.PersistRequest) []consensus.PersistedState {
 	var states []consensus.PersistedState
 	current := before
@@ -62,6 +63,7 @@
 	return states
 }
 
+// compacted returns the state with a snapshot of its own history instead of the entries that the snapshot covers.
 func compacted(before consensus.PersistedState, snapshot consensus.Snapshot) consensus.PersistedState {
 	after := before
 	after.Entries = slices.Clone(before.Entries[snapshot.Index-before.Snapshot.Index:])
@@ -69,7 +71,8 @@
 	return after
 }
 
-// stateText returns a canonical text of a state for comparisons.
+// stateText returns a canonical text of a state for comparisons. Like recovery, it limits the commit index to the last
+// index.
 func stateText(state consensus.PersistedState) string {
 	last := state.Snapshot.Index + uint64(len(state.Entries))
 	state.HardState.Commit = min(state.HardState.Commit, last)
@@ -87,25 +90,25 @@
 	return state.Snapshot.Term
 }
 
-// workload draws random operations that are valid in the state in which they are made.
+// workload generates random operations that are valid in the current state.
 type workload struct {
 	random         *rand.Rand
-	committedIndex uint64 // entries up to here are committed, and so never replaced
+	committedIndex uint64 // entries up to this index are committed and therefore never replaced
 }
 
-// committed returns the index up to which entries are never replaced.
-func (w workload) committed(state consensus.PersistedState) uint64 {
+// lastCommitted returns the index up to which entries are never replaced.
+func (w workload) lastCommitted(state consensus.PersistedState) uint64 {
 	return max(state.Snapshot.Index, w.committedIndex)
 }
 
-func (w workload) next(state consensus.PersistedState) operation {
+func (w workload) nextOperation(state consensus.PersistedState) operation {
 	if w.random.IntN(6) == 0 && len(state.Entries) > 0 {
 		return operation{compact: w.localSnapshot(state)}
 	}
 	var batch []*consensus.PersistRequest
 	current := state
 	for range 1 + w.random.IntN(3) {
-		request := w.persist(current)
+		request := w.persistRequest(current)
 		states := statesAfterPersist(current, request)
 		current = states[len(states)-1]
 		batch = append(batch, request)
@@ -118,14 +121,14 @@
 	return &consensus.Snapshot{Index: entry.Index, Term: entry.Term, Members: w.members(), Data: w.data()}
 }
 
-func (w workload) persist(state consensus.PersistedState) *consensus.PersistRequest {
+func (w workload) persistRequest(state consensus.PersistedState) *consensus.PersistRequest {
 	request := &consensus.PersistRequest{}
 	switch w.random.IntN(10) {
 	case 0: // a snapshot received from the leader
 		request.Snapshot = w.receivedSnapshot(state)
 		state.Snapshot, state.Entries = *request.Snapshot, nil
-	case 1, 2: // entries of a new leader, which replace others
-		request.Entries = w.entries(w.replacedFrom(state), lastTerm(state)+1)
+	case 1, 2: // entries of a new leader, which may replace others
+		request.Entries = w.entries(w.firstReplacedIndex(state), lastTerm(state)+1)
 	case 3: // a hard state alone
 	default: // entries of the same leader
 		request.Entries = w.entries(lastIndex(state)+1, max(lastTerm(state), 1))
@@ -136,14 +139,14 @@
 	return request
 }
 
-// replacedFrom returns a random index from which a new leader replaces entries.
-func (w workload) replacedFrom(state consensus.PersistedState) uint64 {
-	first := w.committed(state) + 1
+// firstReplacedIndex returns a random index from which on a new leader replaces entries.
+func (w workload) firstReplacedIndex(state consensus.PersistedState) uint64 {
+	first := w.lastCommitted(state) + 1
 	return first + uint64(w.random.IntN(int(lastIndex(state)+2-first)))
 }
 
 func (w workload) receivedSnapshot(state consensus.PersistedState) *consensus.Snapshot {
-	first := w.committed(state) + 1
+	first := w.lastCommitted(state) + 1
 	index := first + uint64(w.random.IntN(int(lastIndex(state)+6-first)))
 	return &consensus.Snapshot{Index: index, Term: lastTerm(state) + 1, Members: w.members(), Data: w.data()}
 }
@@ -184,12 +187,13 @@
 	return data
 }
 
-// history is the sequence of states that may be on disk: the acknowledged one, or a later one.
+// history is the sequence of states that the log has passed through. The disk may contain the last acknowledged one or a
+// later one.
 type history struct {
-	states       []consensus.PersistedState
-	stateTexts   []string // of the states, as far as computed
-	acknowledged int
-	abandoned    []consensus.Snapshot // local ones that failed and were not retried
+	states             []consensus.PersistedState
+	stateTexts         []string             // texts of the first states; computed on demand
+	acknowledged       int                  // position of the last acknowledged state
+	abandonedSnapshots []consensus.Snapshot // snapshots whose Compact failed and was not retried
 }
 
 func newHistory(state consensus.PersistedState) *history {
@@ -198,17 +202,19 @@
 
 func (h *history) last() consensus.PersistedState { return h.states[len(h.states)-1] }
 
+// attempt adds the states that an operation passes through. They may be on disk even if the operation fails.
 func (h *history) attempt(call operation) {
 	h.states = append(h.states, statesAfter(h.last(), call)...)
 }
 
+// acknowledge records that all attempted operations are durable.
 func (h *history) acknowledge() { h.acknowledged = len(h.states) - 1 }
 
-// check returns an error unless the state is the last acknowledged one or a later one.
+// check returns an error unless a recovered state is the last acknowledged one or a later one.
 func (h *history) check(state consensus.PersistedState) error {
 	recovered := stateText(state)
 	for i := h.acknowledged; i < len(h.states); i++ {
-		if h.text(i) == recovered || h.isAbandoned(h.states[i], recovered) {
+		if h.text(i) == recovered || h.differsByAbandonedSnapshot(h.states[i], recovered) {
 			return nil
 		}
 	}
@@ -216,7 +222,7 @@
 		stateText(state), stateText(h.states[h.acknowledged]), stateText(h.last()))
 }
 
-// text returns the text of a state, and caches it.
+// text returns the text of the state at a position and caches it.
 func (h *history) text(position int) string {
 	for len(h.stateTexts) <= position {
 		h.stateTexts = append(h.stateTexts, stateText(h.states[len(h.stateTexts)]))
@@ -224,9 +230,9 @@
 	return h.stateTexts[position]
 }
 
-// isAbandoned reports whether the states differ only by a snapshot that failed and was not retried.
-func (h *history) isAbandoned(allowed consensus.PersistedState, recovered string) bool {
-	for _, snapshot := range h.abandoned {
+// differsByAbandonedSnapshot reports whether the recovered state is the allowed one compacted with an abandoned snapshot.
+func (h *history) differsByAbandonedSnapshot(allowed consensus.PersistedState, recovered string) bool {
+	for _, snapshot := range h.abandonedSnapshots {
 		inLog := snapshot.Index > allowed.Snapshot.Index && snapshot.Index <= lastIndex(allowed)
 		if inLog && stateText(compacted(allowed, snapshot)) == recovered {
 			return true
@@ -250,7 +256,7 @@
 	t.Helper()
 	log, stored, err := open(disk)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("open the log: %v", err)
 	}
 	return log, stored
 }
@@ -258,7 +264,7 @@
 // runUntilFailure makes random calls until one fails or count calls are done.
 func runUntilFailure(log *seglog.Log, calls workload, expected *history, count int) error {
 	for range count {
-		call := calls.next(expected.last())
+		call := calls.nextOperation(expected.last())
 		expected.attempt(call)
 		if err := runOperation(log, call); err != nil {
 			return err
@@ -270,4 +276,6 @@
 
 func newRandom(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, 1)) }
 
-var errNotRecovered = errors.New("the disk could not be opened")
+// errNotRecovered means that Open or LoadOrCreateMemberID failed, or returned another member ID, after a power loss or
+// restart.
+var errNotRecovered = errors.New("the stored state has not been recovered")
--- a/coord/seglog/record.go
+++ b/coord/seglog/record.go
@@ -30,8 +30,8 @@
 	preambleChecksumOffset = magicBytes + versionBytes
 	preambleBytes          = preambleChecksumOffset + checksumBytes
 
-	// Header of a segment: preamble, sequence number, index after the last entry when the header was written, checksum of the
-	// last record of the previous segment, checksum of the header.
+	// Header of a segment: preamble, sequence number, index after the last entry when the header was written, checksum of
+	// the last record of the previous segment, checksum of the header.
 	firstIndexOffset       = preambleBytes + uint64Bytes
 	previousChecksumOffset = firstIndexOffset + uint64Bytes
 	headerChecksumOffset   = previousChecksumOffset + checksumBytes
@@ -69,8 +69,8 @@
 	return binary.LittleEndian.AppendUint32(data, checksum(0, data[start:]))
 }
 
-// checkPreamble reports whether data starts with an intact preamble with the magic number. If the preamble is intact but has
-// another format version, the error is a FormatError for the file called name.
+// checkPreamble reports whether data starts with an intact preamble with the magic number. If the preamble is intact but
+// has another format version, the error is a FormatError for the file called name.
 func checkPreamble(name string, data []byte, magic string) (ok bool, err error) {
 	if len(data) < preambleBytes || string(data[:magicBytes]) != magic {
 		return false, nil
@@ -135,8 +135,8 @@
 	binary.LittleEndian.PutUint32(w.data[start+recordChecksumOffset:], w.lastChecksum)
 }
 
-// recordChecksum computes the checksum of a record from sum, the checksum of the previous record, and from its own length, kind
-// and body.
+// recordChecksum computes the checksum of a record from sum, the checksum of the previous record, and from its own length,
+// kind and body.
 func recordChecksum(sum uint32, record []byte) uint32 {
 	return checksum(checksum(sum, record[:recordLengthBytes]), record[recordPrefixBytes:])
 }
@@ -172,8 +172,8 @@
 	}, true
 }
 
-// next returns the next record without advancing past it. ok is false at the end of the data and at an incomplete or corrupt
-// record.
+// next returns the next record without advancing past it. ok is false at the end of the data and at an incomplete or
+// corrupt record.
 func (r *recordReader) next() (kind recordKind, body []byte, ok bool) {
 	rest := r.data[r.offset:]
 	if len(rest) <= recordPrefixBytes {
--- a/coord/seglog/recovery.go
+++ b/coord/seglog/recovery.go
@@ -9,8 +9,8 @@
 	"ospreybend/coord/consensus"
 )
 
-// Open recovers the log in a directory, makes the recovered state durable, and returns both; the log is ready for Save. Errors
-// are FormatError, ErrCorrupt and those of the file system. Open may be called again after an error.
+// Open recovers the log in a directory, makes the recovered state durable, and returns both; the log is ready for Save.
+// Errors are FormatError, ErrCorrupt and those of the file system. Open may be called again after an error.
 func Open(options Options) (*Log, consensus.PersistedState, error) {
 	log := newLog(options)
 	if err := log.fileSystem.MakeDirectory(log.directory); err != nil {
@@ -89,15 +89,15 @@
 // checkComplete rejects a log whose replay stopped at a segment that others follow, or at one that does not continue those
 // before it. All records that precede a segment were durable when it was started, so acknowledged records are missing.
 func (r *recovery) checkComplete() error {
-	if !r.log.enforces(GuardAllSegments) || (r.scannedCount >= len(r.segments) && !r.gapFound) {
+	if !r.log.enforces(GuardIncompleteLogRejected) || (r.scannedCount >= len(r.segments) && !r.gapFound) {
 		return nil
 	}
 	return fmt.Errorf("%w: the log cannot be continued with %s, and the last segment found is %s",
 		ErrCorrupt, segmentName(r.log.nextSegment), r.segments[len(r.segments)-1].name)
 }
 
-// readSnapshots reads the newest snapshot and marks older and temporary ones for removal. It is an error if the newest one is
-// corrupt, since the content of a snapshot is durable before it gets its final name.
+// readSnapshots reads the newest snapshot and marks older and temporary ones for removal. It is an error if the newest one
+// is corrupt, since the content of a snapshot is durable before it gets its final name.
 func (r *recovery) readSnapshots(files []FileInfo) error {
 	var snapshots []snapshotFile
 	for _, file := range files {
@@ -218,7 +218,7 @@
 // continuesPrevious reports whether the previous segment ends with the record after which this segment was started, and no
 // entry is missing between them.
 func (r *recovery) continuesPrevious(reader *recordReader) bool {
-	if !r.log.enforces(GuardSegmentOrder) {
+	if !r.log.enforces(GuardSegmentContinuity) {
 		return true
 	}
 	if reader.firstIndex > r.log.lastIndex+1 {
--- a/coord/seglog/recovery_durable.go
+++ b/coord/seglog/recovery_durable.go
@@ -5,8 +5,8 @@
 	"path/filepath"
 )
 
-// makeDurable truncates and removes invalid data and syncs the rest, since a killed process may have left records that it had
-// not synced. It must succeed before the first write to the log.
+// makeDurable truncates and removes invalid data and syncs the rest, since a killed process may have left records that it
+// had not synced. It must succeed before the first write to the log.
 func (r *recovery) makeDurable() error {
 	if !r.log.enforces(GuardRecoverySynced) {
 		return r.openActiveSegment()
--- a/coord/seglog/seglogtest/disk.go
+++ b/coord/seglog/seglogtest/disk.go
@@ -1,6 +1,6 @@
 // Package seglogtest provides MemoryDisk, an in-memory seglog.FileSystem for tests. MemoryDisk distinguishes synced from
-// unsynced changes. It can simulate a power loss that persists all, some or none of the unsynced changes, a full disk, and a
-// failure or a power loss at a chosen operation. Only tests and the control plane simulation import this package.
+// unsynced changes. It can simulate a power loss that persists all, some or none of the unsynced changes, a full disk, and
+// a failure or a power loss at a chosen operation. Only tests and the control plane simulation import this package.
 package seglogtest
 
 import (
--- a/coord/seglog/seglogtest/file.go
+++ b/coord/seglog/seglogtest/file.go
@@ -15,8 +15,8 @@
 	return f.disk.countOperation()
 }
 
-// Write appends data. If a simulated failure or power loss is due, it appends only the first half and returns the error. If the
-// free space does not suffice, it appends as much as fits.
+// Write appends data. If a simulated failure or power loss is due, it appends only the first half and returns the error. If
+// the free space does not suffice, it appends as much as fits.
 func (f *file) Write(data []byte) (int, error) {
 	f.disk.mutex.Lock()
 	defer f.disk.mutex.Unlock()
--- a/coord/seglog/seglogtest/power_loss.go
+++ b/coord/seglog/seglogtest/power_loss.go
@@ -34,8 +34,8 @@
 	d.reboot()
 }
 
-// Restart simulates the end of a process without a power loss: all changes are kept, and unsynced ones stay unsynced. Simulated
-// faults are reset, and open files become unusable.
+// Restart simulates the end of a process without a power loss: all changes are kept, and unsynced ones stay unsynced.
+// Simulated faults are reset, and open files become unusable.
 func (d *MemoryDisk) Restart() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -105,8 +105,8 @@
 	return []directoryOutcome{changeLost, changePersisted}
 }
 
-// ForEachPowerLoss calls visit with a copy of the disk for each simulated outcome of a power loss at this moment. It stops at
-// the first error of visit and returns it. The outcomes are all combinations in which each unsynced directory change is
+// ForEachPowerLoss calls visit with a copy of the disk for each simulated outcome of a power loss at this moment. It stops
+// at the first error of visit and returns it. The outcomes are all combinations in which each unsynced directory change is
 // persisted or lost (a rename may also leave both names), and the unsynced content of all files is persisted, lost or torn.
 // The copies have no simulated faults.
 func (d *MemoryDisk) ForEachPowerLoss(visit func(lost *MemoryDisk) error) error {
@@ -135,7 +135,8 @@
 	return nil
 }
 
-// applyPowerLoss applies the chosen outcomes to the directory changes, in order, and one outcome to the content of all files.
+// applyPowerLoss applies the chosen outcomes to the directory changes, in order, and one outcome to the content of all
+// files.
 func (d *MemoryDisk) applyPowerLoss(chosen []directoryOutcome, outcome contentOutcome) {
 	for i, change := range d.unsyncedChanges {
 		switch chosen[i] {
--- a/coord/seglog/segment.go
+++ b/coord/seglog/segment.go
@@ -36,7 +36,8 @@
 // segmentName returns the file name of the segment with the sequence number.
 func segmentName(sequence uint64) string { return fmt.Sprintf(segmentFormat, sequence) }
 
-// parseSegmentName returns the sequence number in the file name of a segment. ok is false if the name is not one of a segment.
+// parseSegmentName returns the sequence number in the file name of a segment. ok is false if the name is not one of a
+// segment.
 func parseSegmentName(name string) (sequence uint64, ok bool) {
 	if !strings.HasSuffix(name, segmentSuffix) {
 		return 0, false
@@ -127,7 +128,8 @@
 	return nil
 }
 
-// batchState is the state of the log after the requests of a batch encoded so far. The log adopts it once the batch is durable.
+// batchState is the state of the log after the requests of a batch encoded so far. The log adopts it once the batch is
+// durable.
 type batchState struct {
 	hardState consensus.HardState
 	lastIndex uint64
@@ -147,8 +149,8 @@
 	}
 }
 
-// writeDurably appends data to the active segment and syncs the segment, and the directory if the entry of the segment is not
-// durable yet. If it returns no error, the data survives a power loss.
+// writeDurably appends data to the active segment and syncs the segment, and the directory if the entry of the segment is
+// not durable yet. If it returns no error, the data survives a power loss.
 func (l *Log) writeDurably(data []byte) error {
 	active := l.active
 	active.dirty = true
--- a/coord/seglog/snapshot.go
+++ b/coord/seglog/snapshot.go
@@ -50,7 +50,8 @@
 	return index, snapshotName(index) == name
 }
 
-// writeSnapshot durably stores a snapshot and marks the previous one for removal. Segments before firstSegment become obsolete.
+// writeSnapshot durably stores a snapshot and marks the previous one for removal. Segments before firstSegment become
+// obsolete.
 func (l *Log) writeSnapshot(snapshot consensus.Snapshot, hardState consensus.HardState, firstSegment uint64) error {
 	data, err := encodeSnapshot(snapshot, hardState, firstSegment)
 	if err != nil {
@@ -69,8 +70,8 @@
 	return nil
 }
 
-// storeSnapshot writes a snapshot file. If all guards are enforced, it uses writeFileDurably; otherwise it omits the step that
-// the omitted guard requires.
+// storeSnapshot writes a snapshot file. If all guards are enforced, it uses writeFileDurably; otherwise it omits the step
+// that the omitted guard requires.
 func (l *Log) storeSnapshot(name string, data []byte) error {
 	switch {
 	case !l.enforces(GuardSnapshotRenamedWhenComplete):
@@ -96,7 +97,8 @@
 	}
 }
 
-// writeFileDurably atomically and durably replaces a file. A power loss during the call leaves the old content or the new one.
+// writeFileDurably atomically and durably replaces a file. A power loss during the call leaves the old content or the new
+// one.
 func writeFileDurably(fileSystem FileSystem, directory, temporary, name string, data []byte) error {
 	path := filepath.Join(directory, temporary)
 	if err := writeAndSync(fileSystem, path, data); err != nil {
