--- a/internal/node/override/override.go
+++ b/internal/node/override/override.go
@@ -1,8 +1,8 @@
-// Package override has the operators' manual overrides of prep workers: disabled ("out") or
-// enabled again. They are applied to the endpoint list, so that the core and the balancer see a
-// disabled prep worker as draining, and one enabled again as just started.
+// Package override has the operators' manual overrides, which disable ("out") and enable prep
+// workers. They are applied to the endpoint list: the core and the balancer see a disabled prep
+// worker as draining, and one enabled again as just started.
 //
-// It does no I/O and takes the clock as an argument. Package hotrestart stores overrides for the
+// It does no I/O and takes the time as an argument. Package hotrestart stores overrides for the
 // node's next process; protocol.Admin sets them and protocol.Discovery applies them.
 package override
 
@@ -12,10 +12,10 @@
 	"ospreybend/balance"
 )
 
-// Override is the latest override of a prep worker. Times are the loop's clock.
+// Override is the latest override of a prep worker. Times are on the event loop's clock.
 type Override struct {
-	Out   bool          `json:"out"`
-	At    time.Duration `json:"at"`
+	Out   bool          `json:"out"`             // disabled
+	At    time.Duration `json:"at"`              // when the latest call was made
 	Since time.Duration `json:"since,omitempty"` // when it was last disabled; 0: never
 	Back  time.Duration `json:"back,omitempty"`  // when it was last enabled again; 0: never
 }
@@ -26,8 +26,8 @@
 // Out reports whether a prep worker is disabled.
 func (o Overrides) Out(name string) bool { return o[name].Out }
 
-// Set disables (out) or enables a prep worker at a time. One call that enables undoes any number
-// of calls that disable; enabling one that is not disabled changes the time of the override alone.
+// Set disables (out) or enables a prep worker. One call that enables undoes any number of calls
+// that disable. Enabling a prep worker that is not disabled changes only the time of its override.
 func (o Overrides) Set(name string, out bool, now time.Duration) {
 	old := o[name]
 	next := Override{Out: out, At: max(now, old.At+time.Microsecond), Since: old.Since, Back: old.Back}
@@ -40,8 +40,9 @@
 	o[name] = next
 }
 
-// Merge merges the overrides of another process of this node. The later of two overrides of a
-// prep worker wins; merging is commutative. It returns the names whose override has changed.
+// Merge merges the overrides of another process of this node: of two overrides of a prep worker
+// the later wins. Merging is commutative. Merge returns the names of the prep workers that are
+// disabled or enabled by it.
 func (o Overrides) Merge(other Overrides) (changed []string) {
 	for name, received := range other {
 		old := o[name]
@@ -60,19 +61,19 @@
 // later merges two overrides of one prep worker.
 func later(a, b Override) Override {
 	if b.At > a.At || b.At == a.At && b.Out {
-		a, b = b, a // a is the later; of two at the same time the one that disables, to be safe
+		a, b = b, a // a is the later one; at the same time, the one that disables, which is the safe choice
 	}
 	a.Back, a.Since = max(a.Back, b.Back), max(a.Since, b.Since)
 	if !a.Out && b.Out {
-		a.Back = max(a.Back, a.At) // the two calls were made to different processes
+		a.Back = max(a.Back, a.At) // the process that enabled it had not learned that another had disabled it
 	}
 	return a
 }
 
-// Apply returns a prep worker's listing with its override applied. A disabled one drains,
-// whatever the list says. One enabled again has been restarted meanwhile: a listed start after
-// the time when it was disabled is that restart; an earlier one is the old process's, and the
-// prep worker counts as started when it was enabled.
+// Apply returns a prep worker's listing with its override applied. A disabled prep worker is
+// draining, even if it is listed as ready. One enabled again must have been restarted: if its
+// listed start is later than the time when it was disabled, that is the restart; otherwise it is
+// the old process's start, and the time when the prep worker was enabled counts as its start.
 func (o Overrides) Apply(name string, listing balance.WorkerListing) balance.WorkerListing {
 	latest, ok := o[name]
 	if !ok || listing.State == balance.Gone {
--- a/internal/node/override/override_test.go
+++ b/internal/node/override/override_test.go
@@ -12,26 +12,27 @@
 
 func init() { _ = flag.Set("rapid.seed", "20261201") }
 
-// Two processes receive calls in any order and merge now and then. After a merge both apply the
-// overrides to any list as the model says: a disabled worker drains whatever the list says; one
-// enabled again has started since it was disabled, or with the call if the list has no such start.
+// Two processes get calls that disable and enable prep workers, and merge their overrides at
+// random. After a last merge both must apply them to any list as a model does: a disabled prep
+// worker is draining even if it is listed as ready; one enabled again has its listed start if that
+// is later than the time when it was disabled, otherwise the time of the call that enabled it.
 func TestOverrides_twoProcessesAgainstAModel(t *testing.T) {
-	type truth struct {
+	type workerModel struct {
 		out         bool
 		since, back time.Duration
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		two, now := [2]Overrides{{}, {}}, time.Hour
-		model := map[string]truth{}
+		processes, now := [2]Overrides{{}, {}}, time.Hour
+		model := map[string]workerModel{}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(1, 1000).Draw(t, "ms")) * time.Millisecond
 			at, name := rapid.IntRange(0, 1).Draw(t, "process"), rapid.SampledFrom([]string{"a", "b"}).Draw(t, "name")
 			if rapid.IntRange(0, 3).Draw(t, "merge") == 0 {
-				two[at].Merge(two[1-at])
+				processes[at].Merge(processes[1-at])
 				continue
 			}
-			two[1-at].Merge(two[at]) // a call is recorded under a lock, on what is recorded
-			two[at].Merge(two[1-at])
+			processes[1-at].Merge(processes[at]) // a call is stored under a lock, merged with all that is stored
+			processes[at].Merge(processes[1-at])
 			m, out := model[name], rapid.Bool().Draw(t, "out")
 			if out && !m.out {
 				m.since = now
@@ -40,10 +41,10 @@
 			}
 			m.out = out
 			model[name] = m
-			two[at].Set(name, out, now)
+			processes[at].Set(name, out, now)
 		}
-		two[0].Merge(two[1])
-		two[1].Merge(two[0])
+		processes[0].Merge(processes[1])
+		processes[1].Merge(processes[0])
 		started := time.Duration(rapid.IntRange(0, int(now/time.Second)).Draw(t, "started")) * time.Second
 		state := rapid.SampledFrom([]balance.State{balance.Ready, balance.Draining, balance.Gone}).Draw(t, "state")
 		for name, m := range model {
@@ -54,16 +55,16 @@
 			if state != balance.Gone && started <= m.since {
 				want.Started = max(started, m.back)
 			}
-			for i := range two {
-				if got := two[i].Apply(name, balance.WorkerListing{State: state, Started: started}); got != want {
-					t.Fatalf("%s in process %d: %+v, want %+v", name, i, got, want)
+			for i := range processes {
+				if got := processes[i].Apply(name, balance.WorkerListing{State: state, Started: started}); got != want {
+					t.Fatalf("Apply to prep worker %s in process %d: got %+v, want %+v", name, i, got, want)
 				}
 			}
 		}
 	})
 }
 
-// Overrides that are merged only after both calls: the later wins, in either order.
+// Of two calls that different processes get before they merge, the later wins in both.
 func TestOverrides_Merge_laterWins(t *testing.T) {
 	a, b := Overrides{}, Overrides{}
 	a.Set("x", true, time.Hour)
@@ -71,6 +72,6 @@
 	a.Merge(b)
 	b.Merge(Overrides{"x": {Out: true, At: time.Hour, Since: time.Hour}})
 	if a["x"] != b["x"] || a.Out("x") || a["x"].Back != 2*time.Hour {
-		t.Errorf("%+v and %+v", a["x"], b["x"])
+		t.Errorf("after the merge: got %+v and %+v, want both enabled since 2 h", a["x"], b["x"])
 	}
 }
--- a/internal/node/slottable/table_test.go
+++ b/internal/node/slottable/table_test.go
@@ -2,44 +2,43 @@
 
 import "testing"
 
-// A late answer for an operation that is over must not reach the operation
-// that has its slot now.
+// A late response to a finished operation must not reach the operation that has its slot now.
 func TestTable_Get_staleHandle(t *testing.T) {
 	var table Table[string]
 	first := table.Add("first")
 	if !table.Remove(first) || table.Remove(first) {
-		t.Fatal("a slot is dropped once")
+		t.Fatal("Remove called twice: want true, then false")
 	}
 	second := table.Add("second")
 	if first == second {
-		t.Fatal("two uses of a slot have one Ref")
+		t.Fatalf("two uses of a slot have the same handle %#x", first)
 	}
 	if got := table.Get(first); got != "" {
-		t.Errorf("the stale Ref finds %q", got)
+		t.Errorf("Get with the stale handle: got %q, want the zero value", got)
 	}
 	if got := table.Get(second); got != "second" || table.Len() != 1 {
-		t.Errorf("the slot holds %q, %d in use", got, table.Len())
+		t.Errorf("Get with the valid handle: got %q, %d slots in use, want %q, 1 slot", got, table.Len(), "second")
 	}
 	if table.Get(0) != "" || table.Get(1<<32|7) != "" {
-		t.Error("a Ref never given finds something")
+		t.Error("Get with a handle that Add never returned: got a value, want the zero value")
 	}
 }
 
 func TestTable_All(t *testing.T) {
 	var table Table[int]
-	var refs []Handle
+	var handles []Handle
 	for i := range 4 {
-		refs = append(refs, table.Add(i))
+		handles = append(handles, table.Add(i))
 	}
-	table.Remove(refs[1])
+	table.Remove(handles[1])
 	sum := 0
 	table.All(func(handle Handle, v int) {
-		if table.Get(handle) != v {
-			t.Errorf("All gives %d under a Ref of %d", v, table.Get(handle))
+		if got := table.Get(handle); got != v {
+			t.Errorf("All passes the value %d with a handle for which Get returns %d", v, got)
 		}
 		sum += v
 	})
 	if sum != 0+2+3 {
-		t.Errorf("All visits values that sum to %d", sum)
+		t.Errorf("All: got values with the sum %d, want %d", sum, 0+2+3)
 	}
 }
--- a/internal/node/timerqueue/queue.go
+++ b/internal/node/timerqueue/queue.go
@@ -1,4 +1,4 @@
-// Package timerqueue keeps all deadlines of the node in one ordered structure.
+// Package timerqueue is a priority queue of the node's timers.
 package timerqueue
 
 import (
@@ -6,97 +6,98 @@
 	"time"
 )
 
-// Timer is one entry of a Line.
+// Timer is a timer of a Queue.
 type Timer struct {
 	at       time.Duration
-	sequence uint64 // entries of one time come due in the order they were made
-	index    int    // in the heap; -1: no longer there
-	callback func()
+	sequence uint64 // timers of the same time fire in the order in which they were added
+	index    int    // in the heap; -1: not in it
+	callback func() // nil: cancelled
 }
 
-// At returns the deadline's time.
-func (d *Timer) At() time.Duration { return d.at }
+// At returns the time at which the timer fires.
+func (t *Timer) At() time.Duration { return t.at }
 
-// Queue is the deadlines in order of time. Its zero value is empty.
+// Queue has timers in the order of their times. Its zero value is empty and ready for use.
 type Queue struct {
-	entries timerHeap
-	created uint64
+	timers  timerHeap
+	created uint64 // number of timers added since the start
 }
 
-// Add sets a deadline. fire is called by Run, once, unless it is dropped before.
-func (l *Queue) Add(at time.Duration, fire func()) *Timer {
-	l.created++
-	d := &Timer{at: at, sequence: l.created, callback: fire}
-	heap.Push(&l.entries, d)
-	return d
+// Add adds a timer. Run calls callback once, unless the timer is cancelled before.
+func (q *Queue) Add(at time.Duration, callback func()) *Timer {
+	q.created++
+	t := &Timer{at: at, sequence: q.created, callback: callback}
+	heap.Push(&q.timers, t)
+	return t
 }
 
-// Cancel takes a deadline back. One that is nil, past or dropped is ignored.
-func (l *Queue) Cancel(d *Timer) {
-	if d == nil {
+// Cancel cancels a timer. It ignores nil, and a timer that has fired or been cancelled.
+func (q *Queue) Cancel(t *Timer) {
+	if t == nil {
 		return
 	}
-	d.callback = nil // Run may be keeping it outside the heap just now
-	if d.index >= 0 {
-		heap.Remove(&l.entries, d.index)
+	t.callback = nil // a running Run may have taken it off the heap, to put it back later
+	if t.index >= 0 {
+		heap.Remove(&q.timers, t.index)
 	}
 }
 
-// Next returns the earliest deadline's time.
-func (l *Queue) Next() (time.Duration, bool) {
-	if len(l.entries) == 0 {
+// Next returns the time of the earliest timer, and false if there is none.
+func (q *Queue) Next() (time.Duration, bool) {
+	if len(q.timers) == 0 {
 		return 0, false
 	}
-	return l.entries[0].at, true
+	return q.timers[0].at, true
 }
 
-// Run fires what is due. What is added meanwhile waits for the next Run, so
-// that a deadline that sets itself anew cannot hold up the loop.
-func (l *Queue) Run(now time.Duration) {
-	last := l.created
+// Run fires the timers that are due. A timer added meanwhile waits for the next Run, so that a
+// callback that adds its timer again cannot block the event loop.
+func (q *Queue) Run(now time.Duration) {
+	last := q.created
 	var later []*Timer
-	for len(l.entries) > 0 && l.entries[0].at <= now {
-		d := heap.Pop(&l.entries).(*Timer)
-		if d.sequence > last {
-			later = append(later, d)
+	for len(q.timers) > 0 && q.timers[0].at <= now {
+		t := heap.Pop(&q.timers).(*Timer)
+		if t.sequence > last {
+			later = append(later, t)
 			continue
 		}
-		d.callback()
+		t.callback()
 	}
-	for _, d := range later {
-		if d.callback != nil {
-			heap.Push(&l.entries, d)
+	for _, t := range later {
+		if t.callback != nil {
+			heap.Push(&q.timers, t)
 		}
 	}
 }
 
+// timerHeap implements heap.Interface.
 type timerHeap []*Timer
 
-func (e timerHeap) Len() int { return len(e) }
+func (h timerHeap) Len() int { return len(h) }
 
-func (e timerHeap) Less(i, j int) bool {
-	if e[i].at != e[j].at {
-		return e[i].at < e[j].at
+func (h timerHeap) Less(i, j int) bool {
+	if h[i].at != h[j].at {
+		return h[i].at < h[j].at
 	}
-	return e[i].sequence < e[j].sequence
+	return h[i].sequence < h[j].sequence
 }
 
-func (e timerHeap) Swap(i, j int) {
-	e[i], e[j] = e[j], e[i]
-	e[i].index, e[j].index = i, j
+func (h timerHeap) Swap(i, j int) {
+	h[i], h[j] = h[j], h[i]
+	h[i].index, h[j].index = i, j
 }
 
-func (e *timerHeap) Push(x any) {
-	d := x.(*Timer)
-	d.index = len(*e)
-	*e = append(*e, d)
+func (h *timerHeap) Push(x any) {
+	t := x.(*Timer)
+	t.index = len(*h)
+	*h = append(*h, t)
 }
 
-func (e *timerHeap) Pop() any {
-	old := *e
-	d := old[len(old)-1]
+func (h *timerHeap) Pop() any {
+	old := *h
+	t := old[len(old)-1]
 	old[len(old)-1] = nil
-	*e = old[:len(old)-1]
-	d.index = -1
-	return d
+	*h = old[:len(old)-1]
+	t.index = -1
+	return t
 }
--- a/internal/node/timerqueue/queue_test.go
+++ b/internal/node/timerqueue/queue_test.go
@@ -6,58 +6,57 @@
 	"time"
 )
 
-func TestQueue_firesInOrderWithoutTheCancelled(t *testing.T) {
-	var l Queue
-	var got []int
-	note := func(n int) func() { return func() { got = append(got, n) } }
-	l.Add(30, note(3))
-	dropped := l.Add(20, note(9))
-	l.Add(10, note(1))
-	l.Add(10, note(2))
-	l.Cancel(dropped)
-	l.Cancel(dropped)
-	l.Cancel(nil)
-	if at, ok := l.Next(); !ok || at != 10 {
-		t.Errorf("next is %v, %v", at, ok)
+func TestQueue_Run_inOrderWithoutCancelledTimers(t *testing.T) {
+	var q Queue
+	var fired []int
+	record := func(n int) func() { return func() { fired = append(fired, n) } }
+	q.Add(30, record(3))
+	cancelled := q.Add(20, record(9))
+	q.Add(10, record(1))
+	q.Add(10, record(2))
+	q.Cancel(cancelled)
+	q.Cancel(cancelled)
+	q.Cancel(nil)
+	if at, ok := q.Next(); !ok || at != 10 {
+		t.Errorf("Next: got %v, %v, want 10ns, true", at, ok)
 	}
-	l.Run(29)
-	l.Run(30)
-	if fmt.Sprint(got) != "[1 2 3]" {
-		t.Errorf("fired %v", got)
+	q.Run(29)
+	q.Run(30)
+	if fmt.Sprint(fired) != "[1 2 3]" {
+		t.Errorf("got timers %v fired, want [1 2 3]", fired)
 	}
-	if _, ok := l.Next(); ok {
-		t.Error("something is left")
+	if at, ok := q.Next(); ok {
+		t.Errorf("Next after all timers have fired: got %v, want none", at)
 	}
 }
 
-// A deadline that sets itself anew for a time already past must not hold the
-// loop for ever.
-func TestQueue_Run_endsWhenATimerSetsItselfAgain(t *testing.T) {
-	var l Queue
+// A callback that adds its timer again for a time in the past must not keep Run from returning.
+func TestQueue_Run_endsWhenACallbackAddsItsTimerAgain(t *testing.T) {
+	var q Queue
 	runs := 0
 	var again func()
-	again = func() { runs++; l.Add(0, again) }
-	l.Add(0, again)
-	l.Run(time.Second)
+	again = func() { runs++; q.Add(0, again) }
+	q.Add(0, again)
+	q.Run(time.Second)
 	if runs != 1 {
-		t.Errorf("%d runs at once", runs)
+		t.Errorf("first Run: got %d calls of the callback, want 1", runs)
 	}
-	l.Run(time.Second)
+	q.Run(time.Second)
 	if runs != 2 {
-		t.Errorf("%d runs after the second", runs)
+		t.Errorf("second Run: got %d calls of the callback in all, want 2", runs)
 	}
 }
 
-// What one deadline sets and another takes back in the same Run stays back.
+// A timer that one callback adds and another cancels within the same Run does not fire.
 func TestQueue_Cancel_duringRun(t *testing.T) {
-	var l Queue
+	var q Queue
 	var second *Timer
 	fired := false
-	l.Add(1, func() { second = l.Add(0, func() { fired = true }) })
-	l.Add(2, func() { l.Cancel(second) })
-	l.Run(3)
-	l.Run(4)
+	q.Add(1, func() { second = q.Add(0, func() { fired = true }) })
+	q.Add(2, func() { q.Cancel(second) })
+	q.Run(3)
+	q.Run(4)
 	if fired {
-		t.Error("a dropped deadline fired")
+		t.Error("a cancelled timer has fired")
 	}
 }
