--- a/internal/node/eventloop/conn.go
+++ b/internal/node/eventloop/conn.go
@@ -13,25 +13,25 @@
 )
 
 const (
-	maxRetainedBuffer  = 16 << 10              // bytes; a larger buffer is released once empty
-	lingerTimeout      = time.Second           // for the peer to close a connection, or to read some more of what was sent
-	maxLinger          = 10 * lingerTimeout    // for a peer that reads ever more slowly
-	lingerPollInterval = 10 * time.Millisecond // between two looks at what the peer has not read
-	readDelayBound     = 2 * time.Millisecond  // the loop reads what was received within it
+	maxRetainedBuffer  = 16 << 10              // bytes; a larger buffer is released once it is empty
+	lingerTimeout      = time.Second           // for the peer to close the connection, or to read more of what was sent
+	maxLinger          = 10 * lingerTimeout    // in all, for a peer that keeps reading slowly
+	lingerPollInterval = 10 * time.Millisecond // between two checks of how much the peer has read
+	readDelayBound     = 2 * time.Millisecond  // the loop reads received bytes within this time
 )
 
 // Handler is a protocol's side of a connection.
 type Handler interface {
-	// Data gets all bytes that were received and not used yet, and returns how many of
-	// them it has used now. The slice is valid during the call.
-	Data(c *Conn, in []byte) (used int)
+	// Data gets all received bytes that it has not consumed yet, and returns how many of them
+	// it consumes now. The slice is valid only during the call.
+	Data(c *Conn, in []byte) (consumed int)
 	// Closed is called when the peer or the network has ended the connection. It is not
-	// called for a connection that the node closed.
+	// called for a connection that the node has closed.
 	Closed(c *Conn)
 }
 
-// Conn is a connection on the loop. Its buffer has the bytes that were received and not used
-// yet; it grows as needed and is compacted in place.
+// Conn is a connection on the loop. Its buffer has the received bytes that the handler has not
+// consumed yet; it grows as needed and is compacted in place.
 type Conn struct {
 	loop      *Loop
 	raw       gnet.Conn
@@ -41,26 +41,27 @@
 	onClose   func()
 	onEnded   func() // called when a lingering connection is closed
 	buffer    []byte
-	consumed  int // bytes of buffer that were used
-	pumping   bool
+	consumed  int  // bytes of buffer that the handler has consumed
+	pumping   bool // a call of the handler's Data is in progress
 	closed    bool
-	unsent    bool
+	unsent    bool // closed before the operating system had taken all bytes
 	lingering bool
 }
 
-// run runs a callback of the connection; a Close in it takes effect after it.
-func (c *Conn) run(f func()) gnet.Action {
-	outer := c.loop.current
+// run runs a callback of the connection. If the callback calls Close, gnet closes the connection
+// after it.
+func (c *Conn) run(callback func()) gnet.Action {
+	previous := c.loop.current
 	c.loop.current = c
-	f()
-	c.loop.current = outer
+	callback()
+	c.loop.current = previous
 	if c.closed {
 		return gnet.Close
 	}
 	return gnet.None
 }
 
-// receive adds received bytes to the buffer and offers it to the handler.
+// receive appends received bytes to the buffer and passes the buffer to the handler.
 func (c *Conn) receive(data []byte) {
 	if c.closed || c.lingering {
 		return
@@ -73,8 +74,8 @@
 	c.Pump()
 }
 
-// Pump offers the bytes in the buffer to the handler again, as when it has become ready for
-// the next pipelined message.
+// Pump passes the bytes in the buffer to the handler again, for example when it has become ready
+// for the next pipelined message.
 func (c *Conn) Pump() {
 	if c.pumping || c.closed || c.lingering || c.consumed == len(c.buffer) {
 		return
@@ -90,14 +91,14 @@
 	}
 }
 
-// Send writes data, or queues what the socket buffer does not take. It returns false if the
-// connection has broken before all was written; Closed is not called then.
+// Send writes data, and queues what the socket buffer does not take. It returns false if the
+// connection breaks before all is written; Closed is not called then.
 func (c *Conn) Send(data []byte) bool {
 	if c.closed {
 		return false
 	}
-	// gnet closes a connection whose write fails, inside the call. The caller
-	// learns of it here, once.
+	// If the write fails, gnet closes the connection within the call. Without a handler Closed is
+	// not called, so that the caller learns of it once, by the result.
 	handler := c.handler
 	c.handler = nil
 	_, err := c.raw.Write(data)
@@ -121,7 +122,7 @@
 	return c.raw.OutboundBuffered()
 }
 
-// Open reports whether the connection is usable.
+// Open reports whether the connection is neither closed nor lingering.
 func (c *Conn) Open() bool { return !c.closed && !c.lingering }
 
 // Lingering reports whether the node has sent its last bytes and waits for the peer to close
@@ -129,27 +130,28 @@
 func (c *Conn) Lingering() bool { return c.lingering && !c.closed }
 
 // PeerClosed asks the operating system whether the peer or the network has ended the
-// connection. The loop may not have read as far as that: a busy loop reads late, and all input
-// before the end first.
+// connection. The loop may not know yet: it reads late when it is busy, and it reads all input
+// before the end.
 func (c *Conn) PeerClosed() bool {
 	return c.closed || c.pollEvents()&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 }
 
-// NothingUnread asks the operating system whether there is nothing that the loop has not read,
-// neither input nor the peer's close.
+// NothingUnread asks the operating system whether the loop has read everything, input as well as
+// the peer's close.
 func (c *Conn) NothingUnread() bool { return !c.closed && c.pollEvents() == 0 }
 
 // pollEvents returns the poll(2) events that are ready on the connection.
 func (c *Conn) pollEvents() int16 {
-	ready := []unix.PollFd{{Fd: int32(c.raw.Fd()), Events: unix.POLLIN | unix.POLLRDHUP}}
+	fds := []unix.PollFd{{Fd: int32(c.raw.Fd()), Events: unix.POLLIN | unix.POLLRDHUP}}
 	for {
-		if _, err := unix.Poll(ready, 0); err != unix.EINTR {
-			return ready[0].Revents // none if the call failed
+		if _, err := unix.Poll(fds, 0); err != unix.EINTR {
+			return fds[0].Revents // 0 if the call failed
 		}
 	}
 }
 
-// Close closes the connection at once; Closed is not called.
+// Close closes the connection at once, or after the callback of it that is running. The handler's
+// Closed is not called.
 func (c *Conn) Close() {
 	if c.closed {
 		return
@@ -161,9 +163,9 @@
 }
 
 // Linger closes the sending side once the operating system has taken all bytes, and the
-// connection once the peer has closed its side: a close with unread input would reset the
-// connection, and the peer could lose the last answer. Input from now on is dropped. ended is
-// called when the connection is closed.
+// connection once the peer has closed its side, or after a timeout: a close with unread input
+// would reset the connection, and the peer could lose the last response. Further input is dropped.
+// ended is called when the connection is closed.
 func (c *Conn) Linger(ended func()) {
 	if !c.Open() {
 		ended()
@@ -172,11 +174,13 @@
 	c.lingering, c.onEnded = true, ended
 	c.buffer, c.consumed = nil, 0
 	now := c.loop.now
-	c.flush(c.raw.OutboundBuffered(), now+lingerTimeout, now+maxLinger)
+	c.awaitFlush(c.raw.OutboundBuffered(), now+lingerTimeout, now+maxLinger)
 }
 
-// flush waits until the operating system has taken all bytes, as long as the peer reads some of them.
-func (c *Conn) flush(remaining int, until, latest time.Duration) {
+// awaitFlush waits until the operating system has taken all bytes, then closes the sending side.
+// It closes the connection if the peer has read nothing until a time, or not everything until
+// latest.
+func (c *Conn) awaitFlush(remaining int, until, latest time.Duration) {
 	if c.closed {
 		return
 	}
@@ -187,22 +191,22 @@
 	switch {
 	case pending == 0:
 		_ = syscall.Shutdown(c.raw.Fd(), syscall.SHUT_WR)
-		c.loop.Timers.Add(now+lingerTimeout, func() { c.closeBetweenReads(latest) })
+		c.loop.Timers.Add(now+lingerTimeout, func() { c.closeOnceRead(latest) })
 	case now >= min(until, latest):
 		c.Close()
 	default:
-		c.loop.Timers.Add(now+lingerPollInterval, func() { c.flush(remaining, until, latest) })
+		c.loop.Timers.Add(now+lingerPollInterval, func() { c.awaitFlush(remaining, until, latest) })
 	}
 }
 
-// closeBetweenReads closes a lingering connection when it has no unread input.
-func (c *Conn) closeBetweenReads(latest time.Duration) {
+// closeOnceRead closes a lingering connection once it has no unread input, or at latest.
+func (c *Conn) closeOnceRead(latest time.Duration) {
 	if !c.closed && c.loop.now < latest && !c.NothingUnread() {
-		c.loop.Timers.Add(c.loop.now+readDelayBound, func() { c.closeBetweenReads(latest) })
+		c.loop.Timers.Add(c.loop.now+readDelayBound, func() { c.closeOnceRead(latest) })
 		return
 	}
 	c.Close()
 }
 
-// isClosed reports whether an error is that of a closed socket.
+// isClosed reports whether an error comes from the use of a closed socket.
 func isClosed(err error) bool { return errors.Is(err, net.ErrClosed) }
--- a/internal/node/eventloop/handover.go
+++ b/internal/node/eventloop/handover.go
@@ -6,13 +6,13 @@
 	"os"
 )
 
-// errConnBroken is the error of an adopted socket whose peer is gone.
+// errConnBroken is the error for an adopted socket whose peer has disconnected.
 var errConnBroken = errors.New("connection has broken")
 
-// HandOver gives up a connection without closing it: the caller gets its socket and the bytes
-// that were received and not used, for another process. The handler is not called any more. ok
-// is false, and nothing has changed, if the connection is not open or the operating system has
-// not taken all that was sent.
+// HandOver removes a connection from the loop without ending it: the caller gets a duplicate of
+// its socket and the received bytes that were not consumed, for another process. The handler is
+// not called any more. If the connection is not open or the operating system has not taken all
+// bytes given to Send, ok is false and nothing changes.
 func (c *Conn) HandOver() (socket *os.File, unread []byte, ok bool) {
 	if !c.CanHandOver() {
 		return nil, nil, false
@@ -30,14 +30,15 @@
 // CanHandOver reports whether HandOver may succeed.
 func (c *Conn) CanHandOver() bool { return c.Open() && c.Flushed() }
 
-// pendingHandler is the handler of an adopted connection before SetHandler: input is buffered.
+// pendingHandler is the handler of an adopted connection before SetHandler. It consumes nothing, so
+// that input stays in the buffer.
 type pendingHandler struct{ closed bool }
 
 func (*pendingHandler) Data(*Conn, []byte) int { return 0 }
 func (p *pendingHandler) Closed(*Conn)         { p.closed = true }
 
-// SetHandler sets the handler of an adopted connection, which gets the input received until
-// now, or a call of Closed if it has ended.
+// SetHandler sets the handler of an adopted connection and passes it the input received so far. If
+// the connection has ended, it calls the handler's Closed instead.
 func (c *Conn) SetHandler(handler Handler) {
 	pending, ok := c.handler.(*pendingHandler)
 	c.handler = handler
@@ -48,15 +49,15 @@
 	c.Pump()
 }
 
-// Adopt takes over sockets that another process has handed over, each with its unread input. It
-// must be called outside the loop. The connections have no handler before SetHandler. A socket
-// that has broken meanwhile is returned as a closed connection.
+// Adopt registers sockets that another process has handed over, each with its unconsumed input. It
+// must be called outside the loop. SetHandler must be called for each returned connection. A
+// socket whose peer has disconnected meanwhile is returned as a closed connection.
 func (l *Loop) Adopt(sockets []*os.File, unread [][]byte) []*Conn {
 	conns := make([]*Conn, len(sockets))
-	for i, f := range sockets {
+	for i, socket := range sockets {
 		c := &Conn{loop: l, handler: &pendingHandler{}, buffer: unread[i]}
 		c.onOpen = func() {}
-		if err := l.register(f, c); err != nil {
+		if err := l.register(socket, c); err != nil {
 			c.closed = true
 			c.handler = &pendingHandler{closed: true}
 		}
@@ -65,10 +66,10 @@
 	return conns
 }
 
-// register passes an adopted socket to the loop.
-func (l *Loop) register(f *os.File, c *Conn) error {
-	defer f.Close()
-	raw, err := net.FileConn(f)
+// register registers an adopted socket with the loop and closes the file.
+func (l *Loop) register(socket *os.File, c *Conn) error {
+	defer socket.Close()
+	raw, err := net.FileConn(socket)
 	if err != nil {
 		return err
 	}
@@ -79,18 +80,20 @@
 	return err
 }
 
-// Count counts an adopted connection as one of the listener's, until leave is called. It takes
-// no slot, as the node had the connection before.
-func (in *Listener) Count() (leave func()) {
-	in.open.Add(1)
-	return func() { in.open.Add(-1) }
+// Count adds an adopted connection to the number of the listener's open connections until release
+// is called. It needs no slot: the connection does not count towards the listener's maximum, as
+// the node already had it.
+func (ln *Listener) Count() (release func()) {
+	ln.open.Add(1)
+	return func() { ln.open.Add(-1) }
 }
 
-// OnClose sets a callback for the end of the connection. It is called at once if that has ended.
-func (c *Conn) OnClose(f func()) {
+// OnClose sets a callback for the end of the connection, and calls it at once if the connection has
+// ended.
+func (c *Conn) OnClose(callback func()) {
 	if c.closed {
-		f()
+		callback()
 		return
 	}
-	c.onClose = f
+	c.onClose = callback
 }
--- a/internal/node/eventloop/loop.go
+++ b/internal/node/eventloop/loop.go
@@ -1,10 +1,10 @@
-// Package eventloop runs the node's one event loop, on gnet: TCP connections with their
-// buffers, listeners, datagrams, timers and the clock. It knows no protocol; package protocol
+// Package eventloop runs the node's single event loop, on gnet: TCP connections with their
+// buffers, listeners, datagrams, timers and the clock. It implements no protocol; package protocol
 // is built on it.
 //
 // All callbacks run on the loop, one at a time, so that the state they own needs no locks.
-// What may block (dials, accepts, datagrams) runs in goroutines of its own and reaches the loop
-// by Post. handover.go passes connections between two processes of a node.
+// Calls that may block (dials, accepts, datagrams) run in goroutines of their own, which reach the
+// loop by Post. handover.go passes connections between two processes of a node.
 package eventloop
 
 import (
@@ -22,10 +22,10 @@
 )
 
 const (
-	readChunk     = 64 << 10 // bytes of one read at most
-	acceptBackoff = 20 * time.Millisecond
-	packetBuffer  = 2 << 10 // bytes of a datagram at most
-	discardPort   = 9       // the discard service (RFC 863)
+	maxReadSize     = 64 << 10 // bytes
+	acceptBackoff   = 20 * time.Millisecond
+	maxDatagramSize = 2 << 10 // bytes
+	discardPort     = 9       // the discard service (RFC 863)
 )
 
 // Loop is the event loop. Its methods must be called on the loop, except where their comments
@@ -38,41 +38,41 @@
 	client     *gnet.Client
 	engineLoop gnet.EventLoop
 	conns      slottable.Table[*Conn]
-	current    *Conn // whose callback is running
-	epoch      time.Duration
+	current    *Conn         // whose callback is running
+	epoch      time.Duration // start, since the Unix epoch
 	start      time.Time
 	clock      Clock // nil: the system's
 	now        time.Duration
-	turnDepth  int // of nested turns: a close within a callback runs Closed at once
-	timer      *time.Timer
-	timerAt    time.Duration // what the timer is set to; 0: not set
+	turnDepth  int           // of nested turns: when a callback closes a connection, gnet calls OnClose at once
+	timer      *time.Timer   // runs runTimers at timerAt
+	timerAt    time.Duration // 0: timer is not set
 }
 
-// engineLogger passes gnet's warnings and errors to the node's log, and nothing else.
+// engineLogger passes gnet's warnings and errors to the node's log, and drops the rest.
 type engineLogger struct{}
 
 func (engineLogger) Debugf(string, ...any) {}
 func (engineLogger) Infof(string, ...any)  {}
-func (engineLogger) Warnf(format string, v ...any) {
-	slog.Warn("event loop", "says", fmt.Sprintf(format, v...))
+func (engineLogger) Warnf(format string, args ...any) {
+	slog.Warn("event loop", "says", fmt.Sprintf(format, args...))
 }
-func (engineLogger) Errorf(format string, v ...any) {
-	slog.Error("event loop", "says", fmt.Sprintf(format, v...))
+func (engineLogger) Errorf(format string, args ...any) {
+	slog.Error("event loop", "says", fmt.Sprintf(format, args...))
 }
-func (engineLogger) Fatalf(format string, v ...any) {
-	slog.Error("event loop", "says", fmt.Sprintf(format, v...))
+func (engineLogger) Fatalf(format string, args ...any) {
+	slog.Error("event loop", "says", fmt.Sprintf(format, args...))
 }
 
-// Clock replaces the system's clock, for tests. A loop that has one fires timers at Tick alone.
+// Clock replaces the system's clock in tests. A loop with a Clock fires timers only in Tick.
 type Clock func() time.Duration
 
-// NewLoop starts a loop; Stop ends it. With a nil clock it uses the system's.
+// NewLoop starts a loop; Stop ends it. A nil clock stands for the system's.
 func NewLoop(clock Clock) (*Loop, error) {
 	start := time.Now()
 	l := &Loop{start: start, clock: clock, epoch: time.Duration(start.UnixMicro()) * time.Microsecond}
 	l.timer = time.AfterFunc(time.Hour, func() { l.Post(l.runTimers) })
 	l.timer.Stop()
-	client, err := gnet.NewClient(l, gnet.WithNumEventLoop(1), gnet.WithReadBufferCap(readChunk),
+	client, err := gnet.NewClient(l, gnet.WithNumEventLoop(1), gnet.WithReadBufferCap(maxReadSize),
 		gnet.WithTCPNoDelay(gnet.TCPNoDelay), gnet.WithLogger(engineLogger{}))
 	if err != nil {
 		return nil, fmt.Errorf("event loop: %w", err)
@@ -87,27 +87,28 @@
 	return l, nil
 }
 
-// findEngineLoop obtains gnet's event loop, which is available from a connection alone: a
-// datagram socket to the discard port is enrolled for that, and closed again. It is no Unix
-// socket, since the node would not start where those are forbidden.
+// findEngineLoop obtains gnet's event loop, which only a connection provides: it enrolls a
+// datagram socket to the discard port and closes it again. With a Unix socket instead, the node
+// would not start where those are forbidden.
 func (l *Loop) findEngineLoop() error {
 	conn, err := net.DialUDP("udp4", nil, &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1), Port: discardPort})
 	if err != nil {
 		return err
 	}
-	c, err := l.client.Enroll(conn)
+	enrolled, err := l.client.Enroll(conn)
 	if err != nil {
 		return err
 	}
-	l.engineLoop = c.EventLoop()
-	return c.Close()
+	l.engineLoop = enrolled.EventLoop()
+	return enrolled.Close()
 }
 
-// Now returns the loop's clock: microseconds since the Unix epoch, read once a turn. It is
-// monotonic from the loop's start, and comparable to times of other machines.
+// Now returns the time since the Unix epoch, in whole microseconds. The clock is read once a turn,
+// that is, once for each callback of gnet. It is monotonic from the loop's start, and comparable to
+// the clocks of other machines.
 func (l *Loop) Now() time.Duration { return l.now }
 
-// beginTurn starts a turn of the loop: it reads the clock.
+// beginTurn starts a turn of the loop and reads the clock.
 func (l *Loop) beginTurn() {
 	l.turnDepth++
 	if l.turnDepth > 1 {
@@ -120,7 +121,7 @@
 	l.now = l.epoch + time.Since(l.start).Truncate(time.Microsecond)
 }
 
-// endTurn ends a turn of the loop: it sets the system timer to the next timer's time.
+// endTurn ends a turn of the loop and sets the system timer to the time of the next timer.
 func (l *Loop) endTurn() {
 	l.turnDepth--
 	if l.turnDepth > 0 {
@@ -140,13 +141,13 @@
 	l.Timers.Run(l.now)
 }
 
-// Tick fires the timers that are due by the Clock, and returns after that. It must be called
+// Tick fires the timers that are due by the Clock and waits for their callbacks. It must be called
 // outside the loop.
 func (l *Loop) Tick() { l.Call(func() { l.Timers.Run(l.now) }) }
 
 // Post runs f on the loop. Any goroutine may call it.
 func (l *Loop) Post(f func()) {
-	// The only error is that the loop has stopped; f is dropped then.
+	// The only error is that the loop has stopped; f is not run then.
 	_ = l.engineLoop.Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
 		l.beginTurn()
 		f()
@@ -165,10 +166,10 @@
 // Stop ends the loop. It must be called outside the loop.
 func (l *Loop) Stop() error { return l.client.Stop() }
 
-// Dial opens a connection without blocking the loop. done gets the connection or the error, on
-// the loop, unless cancel was called before: a connection opened after that is closed. If
-// there is no connection, released is called once the dial uses no descriptor any more, before
-// done or in its place.
+// Dial opens a connection without blocking the loop. done is called on the loop with the
+// connection or the error, unless cancel is called before; a connection opened after that is
+// closed. If the dial fails or is cancelled, released is called once it uses no descriptor any
+// more: before done, or in its place.
 func (l *Loop) Dial(address string, timeout time.Duration, handler Handler, done func(*Conn, error), released func()) (cancel func()) {
 	ctx, stop := context.WithTimeout(context.Background(), timeout)
 	cancelled := false
@@ -207,29 +208,29 @@
 // Packets is a UDP socket.
 type Packets struct{ conn *net.UDPConn }
 
-// ListenPackets receives datagrams on an address until the socket is closed; got is called on
+// ListenPackets receives datagrams on an address until the socket is closed, and calls handle on
 // the loop with each. It may be called outside the loop.
-func (l *Loop) ListenPackets(address string, got func(from netip.AddrPort, data []byte)) (*Packets, error) {
-	at, err := net.ResolveUDPAddr("udp", address)
+func (l *Loop) ListenPackets(address string, handle func(from netip.AddrPort, data []byte)) (*Packets, error) {
+	local, err := net.ResolveUDPAddr("udp", address)
 	if err != nil {
 		return nil, err
 	}
-	conn, err := net.ListenUDP("udp", at)
+	conn, err := net.ListenUDP("udp", local)
 	if err != nil {
 		return nil, err
 	}
 	go func() {
-		buf := make([]byte, packetBuffer)
+		buf := make([]byte, maxDatagramSize)
 		for {
 			n, from, err := conn.ReadFromUDPAddrPort(buf)
 			if isClosed(err) {
 				return
 			}
 			if err != nil {
-				continue // an ICMP error of an earlier datagram
+				continue // an ICMP error for a datagram sent earlier
 			}
 			data := append([]byte(nil), buf[:n]...)
-			l.Post(func() { got(from, data) })
+			l.Post(func() { handle(from, data) })
 		}
 	}()
 	return &Packets{conn: conn}, nil
@@ -243,13 +244,11 @@
 // Close closes the socket.
 func (p *Packets) Close() { _ = p.conn.Close() }
 
-// OnOpen, OnTraffic and OnClose are gnet's callbacks.
-
 // OnOpen is gnet's callback for a connection that the loop has registered.
 func (l *Loop) OnOpen(raw gnet.Conn) ([]byte, gnet.Action) {
 	c, ok := raw.Context().(*Conn)
 	if !ok {
-		return nil, gnet.None // the loop's own, see findSelf
+		return nil, gnet.None // the socket of findEngineLoop
 	}
 	l.beginTurn()
 	defer l.endTurn()
--- a/internal/node/hotrestart/compatibility_test.go
+++ b/internal/node/hotrestart/compatibility_test.go
@@ -10,10 +10,10 @@
 	"ospreybend/internal/testkit/golden"
 )
 
-// compatibilityFile is the fixture: the file that the processes of a node share.
+// compatibilityFile is the name of the file that the processes of a node share, and of its fixture.
 const compatibilityFile = "by-hand.json"
 
-// compatibilityOverrides has every field set, and none.
+// compatibilityOverrides returns an override with every field set and one with only the required fields.
 func compatibilityOverrides() override.Overrides {
 	return override.Overrides{
 		"worker-1": {Out: true, At: 3 * time.Second, Since: 2 * time.Second, Back: time.Second},
@@ -21,39 +21,40 @@
 	}
 }
 
-// inDirectory calls use with the directory of a process, and the path of its shared file.
-func inDirectory(t *testing.T, use func(directory *Directory, path string)) {
+// withDirectory calls use with a new directory and the path of its shared file.
+func withDirectory(t *testing.T, use func(directory *Directory, path string)) {
 	t.Helper()
-	folder := t.TempDir()
-	directory, err := Open(folder, "node")
+	tmp := t.TempDir()
+	directory, err := Open(tmp, "node")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer directory.Close()
-	use(directory, filepath.Join(folder, "ospreybend-node", compatibilityFile))
+	use(directory, filepath.Join(tmp, "ospreybend-node", compatibilityFile))
 }
 
-// compatibilityRows are the shared file.
+// compatibilityRows returns the check of the shared file's format.
 func compatibilityRows(t *testing.T) []golden.Row {
 	return []golden.Row{{
 		Name: compatibilityFile, Value: compatibilityOverrides(),
 		Encode: func() (content []byte, err error) {
-			inDirectory(t, func(directory *Directory, path string) {
+			withDirectory(t, func(directory *Directory, path string) {
 				if _, err = directory.Change(func(overrides override.Overrides) { overrides.Merge(compatibilityOverrides()) }); err == nil {
 					content, err = os.ReadFile(path)
 				}
 			})
 			return content, err
 		},
-		Decode: func(content []byte) (read any, err error) {
-			inDirectory(t, func(directory *Directory, path string) {
+		Decode: func(content []byte) (decoded any, err error) {
+			withDirectory(t, func(directory *Directory, path string) {
 				if err = os.WriteFile(path, content, 0o600); err == nil {
-					read, err = directory.Overrides()
+					decoded, err = directory.Overrides()
 				}
 			})
-			return read, err
+			return decoded, err
 		},
 	}}
 }
 
+// The shared file has the format that commit 8782861 wrote, and its fixture is still read.
 func TestSharedFile_asVersion8782861(t *testing.T) { golden.Check(t, compatibilityRows(t)) }
--- a/internal/node/hotrestart/directory.go
+++ b/internal/node/hotrestart/directory.go
@@ -1,9 +1,11 @@
-// Package hotrestart connects the processes of one node while the next takes over from the last:
-// a directory in $TMPDIR has the manual overrides that they share and a lock file for each
-// process, which the operating system releases when the process ends; Unix sockets there pass the
-// last process's clients' connections to the next (handover.go).
+// Package hotrestart connects the processes of one node during a hot restart, when the next
+// process takes over from the previous one. They share a directory in $TMPDIR with the manual
+// overrides and with a lock file for each process; the operating system releases the lock when
+// the process ends. Over Unix sockets there the previous process passes the connections of its
+// clients to the next one (handover.go).
 //
-// Its calls block, so that the event loop must not make them. The node's command is its caller.
+// The functions block, so that they must not be called on the event loop. Package
+// cmd/ospreybend calls them.
 package hotrestart
 
 import (
@@ -28,7 +30,7 @@
 	changeLockName    = "lock"
 	lockPrefix        = "alive-"
 	maxOverridesBytes = 1 << 20 // a longer file counts as unreadable
-	maxLockAttempts   = 20      // on this process's own lock file, which another process may lock for a moment to see whether it is stale
+	maxLockAttempts   = 20      // to lock this process's own lock file, while another process checks whether it is stale
 )
 
 // Directory is the directory that the processes of one node share.
@@ -36,10 +38,10 @@
 	path     string
 	process  string // unique over all processes of the node
 	lockPath string
-	lock     *os.File // locked for as long as the process lives
+	lock     *os.File // locked until the process ends
 }
 
-// overridesFile is the JSON form of the shared overrides.
+// overridesFile is the content of the file of the shared overrides.
 type overridesFile struct {
 	Version   int                `json:"version"`
 	Overrides override.Overrides `json:"words"`
@@ -47,47 +49,47 @@
 
 var errTmpDirMissing = errors.New("TMPDIR: not set")
 
-// Open creates the directory of a node within tmp if need be, and locks a file there for this
-// process. Its errors name TMPDIR.
+// Open creates the directory of a node within tmp if it does not exist, and locks a file there
+// for this process. Its errors name TMPDIR.
 func Open(tmp, node string) (*Directory, error) {
 	if tmp == "" {
 		return nil, errTmpDirMissing
 	}
-	dir := filepath.Join(tmp, "ospreybend-"+strings.Map(func(d rune) rune {
-		if d == filepath.Separator || d == 0 {
+	path := filepath.Join(tmp, "ospreybend-"+strings.Map(func(r rune) rune {
+		if r == filepath.Separator || r == 0 {
 			return '_'
 		}
-		return d
+		return r
 	}, node))
-	if err := os.MkdirAll(dir, 0o700); err != nil {
+	if err := os.MkdirAll(path, 0o700); err != nil {
 		return nil, fmt.Errorf("TMPDIR: %w", err)
 	}
 	// The process ID is not unique across PID namespaces.
-	name := strconv.Itoa(os.Getpid()) + "-" + strconv.FormatInt(time.Now().UnixNano(), 36)
-	d := &Directory{path: dir, process: name, lockPath: filepath.Join(dir, lockPrefix+name)}
+	process := strconv.Itoa(os.Getpid()) + "-" + strconv.FormatInt(time.Now().UnixNano(), 36)
+	d := &Directory{path: path, process: process, lockPath: filepath.Join(path, lockPrefix+process)}
 	for range maxLockAttempts {
 		file, err := os.OpenFile(d.lockPath, os.O_CREATE|os.O_RDWR, 0o600)
 		if err != nil {
 			return nil, fmt.Errorf("TMPDIR: %w", err)
 		}
-		if syscall.Flock(int(file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB) == nil && samePath(file, d.lockPath) {
+		if syscall.Flock(int(file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB) == nil && isFileAt(file, d.lockPath) {
 			d.lock = file
 			return d, nil
 		}
-		file.Close() // another process has just checked whether it is stale
+		file.Close() // locked or removed by another process that checks whether it is stale
 		time.Sleep(time.Millisecond)
 	}
 	return nil, fmt.Errorf("TMPDIR: %s is locked by another process", d.lockPath)
 }
 
-// samePath reports whether a path still leads to an open file.
-func samePath(f *os.File, path string) bool {
-	a, err := f.Stat()
+// isFileAt reports whether a path still leads to an open file.
+func isFileAt(file *os.File, path string) bool {
+	opened, err := file.Stat()
 	if err != nil {
 		return false
 	}
-	b, err := os.Stat(path)
-	return err == nil && os.SameFile(a, b)
+	current, err := os.Stat(path)
+	return err == nil && os.SameFile(opened, current)
 }
 
 // Close removes this process's lock file.
@@ -96,8 +98,8 @@
 	_ = d.lock.Close()
 }
 
-// OtherProcesses returns the number of other processes of the node that run. It removes the
-// lock files of those that have ended.
+// OtherProcesses returns the number of other running processes of the node. It removes the lock
+// files of those that have ended.
 func (d *Directory) OtherProcesses() int {
 	entries, err := os.ReadDir(d.path)
 	if err != nil {
@@ -123,8 +125,8 @@
 	return count
 }
 
-// Overrides reads the shared manual overrides. A missing file has none; an unreadable one, or
-// one of another version, is an error.
+// Overrides reads the shared manual overrides. It returns none if the file does not exist, and an
+// error if the file cannot be read or has another version.
 func (d *Directory) Overrides() (override.Overrides, error) {
 	path := filepath.Join(d.path, overridesName)
 	info, err := os.Stat(path)
@@ -132,17 +134,17 @@
 		return override.Overrides{}, nil
 	}
 	if err == nil && info.Size() > maxOverridesBytes {
-		err = errors.New("the file is too long")
+		err = fmt.Errorf("the file is too long: %d bytes, the limit is %d", info.Size(), maxOverridesBytes)
 	}
-	var text []byte
+	var content []byte
 	if err == nil {
-		text, err = os.ReadFile(path)
+		content, err = os.ReadFile(path)
 	}
 	if err != nil {
 		return override.Overrides{}, fmt.Errorf("%s: %w", path, err)
 	}
 	var file overridesFile
-	if err := json.Unmarshal(text, &file); err != nil {
+	if err := json.Unmarshal(content, &file); err != nil {
 		return override.Overrides{}, fmt.Errorf("%s: %w", path, err)
 	}
 	if file.Version != fileVersion {
@@ -154,8 +156,8 @@
 	return file.Overrides, nil
 }
 
-// Change changes the shared overrides under a lock and writes the file atomically. It returns the
-// overrides now stored. An unreadable file is replaced.
+// Change reads the shared overrides, calls change with them and replaces the file atomically, all
+// under a lock. It returns the overrides now stored. A file that cannot be read counts as empty.
 func (d *Directory) Change(change func(override.Overrides)) (override.Overrides, error) {
 	lock, err := os.OpenFile(filepath.Join(d.path, changeLockName), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
@@ -170,7 +172,7 @@
 		slog.Warn("override file reset", "fault", err)
 	}
 	change(overrides)
-	text, err := json.Marshal(overridesFile{fileVersion, overrides})
+	content, err := json.Marshal(overridesFile{fileVersion, overrides})
 	if err != nil {
 		return nil, err
 	}
@@ -178,7 +180,7 @@
 	if err != nil {
 		return nil, err
 	}
-	_, err = temporary.Write(text)
+	_, err = temporary.Write(content)
 	err = errors.Join(err, temporary.Close())
 	if err == nil {
 		err = os.Rename(temporary.Name(), filepath.Join(d.path, overridesName))
@@ -190,18 +192,18 @@
 	return overrides, nil
 }
 
-// Watch polls the directory and calls notify when the overrides or the number of other processes
-// have changed, until stop is closed.
-func (d *Directory) Watch(every time.Duration, stop <-chan struct{}, notify func(overrides override.Overrides, others int)) {
-	ticker := time.NewTicker(every)
+// Watch polls the directory until stop is closed. It calls notify at first and whenever the
+// overrides or the number of other processes have changed.
+func (d *Directory) Watch(interval time.Duration, stop <-chan struct{}, notify func(overrides override.Overrides, others int)) {
+	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	var last fs.FileInfo
 	others := -1
 	for {
 		info, _ := os.Stat(filepath.Join(d.path, overridesName))
-		fresh := info != nil && (last == nil || !os.SameFile(info, last) || !info.ModTime().Equal(last.ModTime()))
+		modified := info != nil && (last == nil || !os.SameFile(info, last) || !info.ModTime().Equal(last.ModTime()))
 		processes := d.OtherProcesses()
-		if fresh || processes != others {
+		if modified || processes != others {
 			overrides, err := d.Overrides()
 			if err != nil {
 				slog.Warn("override file cannot be read", "fault", err)
--- a/internal/node/hotrestart/directory_test.go
+++ b/internal/node/hotrestart/directory_test.go
@@ -12,83 +12,86 @@
 
 func openDirectory(t *testing.T, tmp string) *Directory {
 	t.Helper()
-	r, err := Open(tmp, "n1")
+	directory, err := Open(tmp, "n1")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(r.Close)
-	return r
+	t.Cleanup(directory.Close)
+	return directory
 }
 
-func takeOut(name string) func(override.Overrides) {
-	return func(w override.Overrides) { w.Set(name, true, time.Hour) }
+// disable returns a change that disables a prep worker.
+func disable(name string) func(override.Overrides) {
+	return func(overrides override.Overrides) { overrides.Set(name, true, time.Hour) }
 }
 
-// Overrides stored by one process are read by the next. An unreadable file is an error without
-// overrides, and the next change replaces it. The files of an ended process do not count.
+// Overrides returns an error and no overrides if the file cannot be read; the next Change replaces
+// the file. One process reads the overrides that another has stored. A process that has ended is
+// not counted.
 func TestDirectory_Overrides_unreadableFileIsReset(t *testing.T) {
-	for spoilt, text := range map[string]string{"torn": `{"version":1,"words":{"a":{"out":tr`, "empty": "",
+	for damage, content := range map[string]string{"torn": `{"version":1,"words":{"a":{"out":tr`, "empty": "",
 		"version": `{"version":7,"words":{"a":{"out":true}}}`, "long": strings.Repeat(" ", maxOverridesBytes+1)} {
 		tmp := t.TempDir()
 		a, b := openDirectory(t, tmp), openDirectory(t, tmp)
 		path := filepath.Join(a.path, overridesName)
-		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+		if err := os.WriteFile(path, []byte(content), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if w, err := a.Overrides(); err == nil || len(w) > 0 {
-			t.Errorf("%s: %+v, %v", spoilt, w, err)
+		if overrides, err := a.Overrides(); err == nil || len(overrides) > 0 {
+			t.Errorf("%s file: got overrides %+v, error %v, want none and an error", damage, overrides, err)
 		}
-		for i, r := range []*Directory{a, b} {
-			if _, err := r.Change(takeOut([]string{"x", "y"}[i])); err != nil {
-				t.Errorf("%s: %v", spoilt, err)
+		for i, directory := range []*Directory{a, b} {
+			if _, err := directory.Change(disable([]string{"x", "y"}[i])); err != nil {
+				t.Errorf("%s file: Change by process %d: %v", damage, i, err)
 			}
 		}
-		if w, err := a.Overrides(); err != nil || !w.Out("x") || !w.Out("y") || len(w) != 2 {
-			t.Errorf("%s, then: %+v, %v", spoilt, w, err)
+		if overrides, err := a.Overrides(); err != nil || !overrides.Out("x") || !overrides.Out("y") || len(overrides) != 2 {
+			t.Errorf("%s file, after both changes: got overrides %+v, error %v, want x and y disabled", damage, overrides, err)
 		}
 		_ = os.WriteFile(filepath.Join(a.path, lockPrefix+"1"), nil, 0o600)
 		if a.OtherProcesses() != 1 || b.OtherProcesses() != 1 {
-			t.Errorf("%d and %d others", a.OtherProcesses(), b.OtherProcesses())
+			t.Errorf("%s file: got %d and %d other processes, want 1 and 1", damage, a.OtherProcesses(), b.OtherProcesses())
 		}
 		b.Close()
 		if n := a.OtherProcesses(); n != 0 {
-			t.Errorf("%d others after one has left", n)
+			t.Errorf("%s file: got %d other processes after the other has ended, want 0", damage, n)
 		}
 	}
 }
 
-// Messages arrive complete, with their sockets, also if the directory's name is long.
+// A large message arrives whole and with its socket, also if the directory's path is too long for
+// a socket address.
 func TestSuccessor_Send_largeMessageWithSockets(t *testing.T) {
 	tmp := filepath.Join(t.TempDir(), strings.Repeat("long", 30))
 	a, b := openDirectory(t, tmp), openDirectory(t, tmp)
-	got := make(chan Message, 1)
-	stop, err := b.Receive(func(p Message) { got <- p })
+	received := make(chan Message, 1)
+	stop, err := b.Receive(func(m Message) { received <- m })
 	if err != nil {
 		t.Fatal(err)
 	}
-	next := a.Successor()
-	if next == nil || b.Successor() != nil {
-		t.Fatal("the next process is not found, or is its own successor")
+	successor := a.Successor()
+	if successor == nil || b.Successor() != nil {
+		t.Fatalf("Successor: got %v for the previous process, want the next process; or one for the next process, want none", successor)
 	}
-	defer next.Close()
-	in, far, err := os.Pipe()
+	defer successor.Close()
+	reader, writer, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer in.Close()
-	if err := next.Send(Message{Text: make([]byte, 150<<10), Sockets: []*os.File{far}}); err != nil {
+	defer reader.Close()
+	if err := successor.Send(Message{Text: make([]byte, 150<<10), Sockets: []*os.File{writer}}); err != nil {
 		t.Fatal(err)
 	}
-	p, buf := <-got, make([]byte, 2)
-	_, _ = p.Sockets[0].WriteString("hi")
-	if n, err := in.Read(buf); err != nil || string(buf[:n]) != "hi" || len(p.Text) != 150<<10 {
-		t.Errorf("%d bytes, and through the socket came %q, %v", len(p.Text), buf, err)
+	message, buf := <-received, make([]byte, 2)
+	_, _ = message.Sockets[0].WriteString("hi")
+	if n, err := reader.Read(buf); err != nil || string(buf[:n]) != "hi" || len(message.Text) != 150<<10 {
+		t.Errorf("got a message of %d bytes, and %q, error %v through its socket, want %d bytes and %q", len(message.Text), buf, err, 150<<10, "hi")
 	}
-	p.Close()
-	if err := next.Send(Message{Text: make([]byte, maxMessageBytes+1)}); err == nil {
-		t.Error("a message that is too long was sent")
+	message.Close()
+	if err := successor.Send(Message{Text: make([]byte, maxMessageBytes+1)}); err == nil {
+		t.Error("Send of a message that is too long: got no error")
 	}
 	if stop(); a.Successor() != nil {
-		t.Error("found a process that has stopped receiving")
+		t.Error("Successor after the next process has stopped receiving: got one, want none")
 	}
 }
--- a/internal/node/hotrestart/handover.go
+++ b/internal/node/hotrestart/handover.go
@@ -12,13 +12,14 @@
 )
 
 const (
-	socketPrefix         = "next-2-" // with the version of the messages' form
+	socketPrefix         = "next-2-" // 2 is the version of the message format
 	maxMessageBytes      = 512 << 10
 	maxSocketsPerMessage = 32
-	bufferSize           = 1 << 20
+	longSocketPath       = 100 // bytes; addresses of 108 and more are invalid
+	writeBufferSize      = 1 << 20
 )
 
-// Message is a message to the next process, with the sockets passed along.
+// Message is a message to the next process, with the sockets that are passed with it.
 type Message struct {
 	Text    []byte
 	Sockets []*os.File
@@ -26,41 +27,41 @@
 
 // Close closes the message's sockets.
 func (m Message) Close() {
-	for _, s := range m.Sockets {
-		s.Close()
+	for _, socket := range m.Sockets {
+		socket.Close()
 	}
 }
 
-// Receive opens a socket on which the previous process hands over its work, and calls got with
-// each message, from a goroutine of its own, until stop is called.
-func (d *Directory) Receive(got func(Message)) (stop func(), err error) {
-	name := filepath.Join(d.path, socketPrefix+d.process)
-	at, free, err := d.socketAddress(name)
+// Receive opens a socket on which the previous process hands over its connections and operations.
+// It calls handle with each message, in a goroutine for each connection, until stop is called.
+func (d *Directory) Receive(handle func(Message)) (stop func(), err error) {
+	path := filepath.Join(d.path, socketPrefix+d.process)
+	address, release, err := d.socketAddress(path)
 	if err != nil {
 		return nil, err
 	}
-	defer free()
-	ln, err := net.ListenUnix("unixpacket", at)
+	defer release()
+	listener, err := net.ListenUnix("unixpacket", address)
 	if err != nil {
 		return nil, err
 	}
-	ln.SetUnlinkOnClose(false)
+	listener.SetUnlinkOnClose(false) // stop removes the path; the address may contain a descriptor that is closed by then
 	go func() {
 		for {
-			c, err := ln.AcceptUnix()
+			conn, err := listener.AcceptUnix()
 			if err != nil {
 				return
 			}
-			go receive(c, got)
+			go receive(conn, handle)
 		}
 	}()
-	return func() { _ = ln.Close(); _ = os.Remove(name) }, nil
+	return func() { _ = listener.Close(); _ = os.Remove(path) }, nil
 }
 
-// socketAddress returns a socket's address. A path longer than the system allows is replaced by
-// one through the open directory, which the returned function closes.
-func (d *Directory) socketAddress(path string) (*net.UnixAddr, func(), error) {
-	if len(path) < 100 {
+// socketAddress returns the address of the Unix socket at a path. A path that is too long for the
+// operating system is replaced by one through a descriptor of its directory; release closes that.
+func (d *Directory) socketAddress(path string) (address *net.UnixAddr, release func(), err error) {
+	if len(path) < longSocketPath {
 		return &net.UnixAddr{Name: path, Net: "unixpacket"}, func() {}, nil
 	}
 	dir, err := os.Open(filepath.Dir(path))
@@ -71,28 +72,28 @@
 	return &net.UnixAddr{Name: short, Net: "unixpacket"}, func() { dir.Close() }, nil
 }
 
-// receive reads the messages of one connection.
-func receive(conn *net.UnixConn, got func(Message)) {
+// receive reads the messages of one connection and calls handle with each.
+func receive(conn *net.UnixConn, handle func(Message)) {
 	defer conn.Close()
-	text, rights := make([]byte, maxMessageBytes), make([]byte, syscall.CmsgSpace(4*maxSocketsPerMessage))
+	text, control := make([]byte, maxMessageBytes), make([]byte, syscall.CmsgSpace(4*maxSocketsPerMessage))
 	for {
-		n, rn, flags, _, err := conn.ReadMsgUnix(text, rights)
+		n, controlLength, flags, _, err := conn.ReadMsgUnix(text, control)
 		if err != nil || n == 0 {
 			return
 		}
-		message := Message{Text: append([]byte(nil), text[:n]...), Sockets: sockets(rights[:rn])}
+		message := Message{Text: append([]byte(nil), text[:n]...), Sockets: receivedSockets(control[:controlLength])}
 		if flags&(syscall.MSG_TRUNC|syscall.MSG_CTRUNC) != 0 {
-			slog.Error("hand-over message too long", "bytes", n, "sockets", len(message.Sockets))
+			slog.Error("handover message too long, dropped", "bytes", n, "sockets", len(message.Sockets))
 			message.Close()
 			continue
 		}
-		got(message)
+		handle(message)
 	}
 }
 
-// sockets returns the sockets passed beside a message.
-func sockets(rights []byte) (out []*os.File) {
-	messages, err := syscall.ParseSocketControlMessage(rights)
+// receivedSockets returns the sockets in the control data of a message.
+func receivedSockets(control []byte) (sockets []*os.File) {
+	messages, err := syscall.ParseSocketControlMessage(control)
 	if err != nil {
 		return nil
 	}
@@ -103,56 +104,57 @@
 		}
 		for _, fd := range fds {
 			syscall.CloseOnExec(fd)
-			out = append(out, os.NewFile(uintptr(fd), "handed over"))
+			sockets = append(sockets, os.NewFile(uintptr(fd), "handed over"))
 		}
 	}
-	return out
+	return sockets
 }
 
 // Successor is a connection to the next process of the node.
 type Successor struct{ conn *net.UnixConn }
 
-// Successor connects to the next process of the node. It returns nil if there is none that
-// receives messages of this version.
+// Successor connects to the next process of the node. It returns nil if no other process receives
+// messages of this version.
 func (d *Directory) Successor() *Successor {
 	entries, err := os.ReadDir(d.path)
 	if err != nil {
 		return nil
 	}
-	for _, e := range entries {
-		name := filepath.Join(d.path, e.Name())
-		if !strings.HasPrefix(e.Name(), socketPrefix) || e.Name() == socketPrefix+d.process {
+	for _, entry := range entries {
+		path := filepath.Join(d.path, entry.Name())
+		if !strings.HasPrefix(entry.Name(), socketPrefix) || entry.Name() == socketPrefix+d.process {
 			continue
 		}
-		at, free, err := d.socketAddress(name)
+		address, release, err := d.socketAddress(path)
 		if err != nil {
 			return nil
 		}
-		conn, err := net.DialUnix("unixpacket", nil, at)
-		free()
+		conn, err := net.DialUnix("unixpacket", nil, address)
+		release()
 		if err != nil {
 			if errors.Is(err, syscall.ECONNREFUSED) {
-				_ = os.Remove(name) // of a process that has ended
+				_ = os.Remove(path) // the socket of a process that has ended
 			}
 			continue
 		}
-		_ = conn.SetWriteBuffer(bufferSize)
+		_ = conn.SetWriteBuffer(writeBufferSize)
 		return &Successor{conn}
 	}
 	return nil
 }
 
-// Send sends a message and closes its sockets here. After an error the sockets are still the
-// caller's.
-func (n *Successor) Send(message Message) error {
+// Send sends a message and closes its sockets in this process. If it returns an error, the sockets
+// are still open.
+func (s *Successor) Send(message Message) error {
 	if len(message.Text) > maxMessageBytes || len(message.Sockets) > maxSocketsPerMessage {
-		return fmt.Errorf("message of %d bytes and %d sockets is too long", len(message.Text), len(message.Sockets))
+		return fmt.Errorf("message of %d bytes and %d sockets is too long: the limits are %d and %d",
+			len(message.Text), len(message.Sockets), maxMessageBytes, maxSocketsPerMessage)
 	}
 	fds := make([]int, len(message.Sockets))
-	for i, s := range message.Sockets {
-		fds[i] = int(s.Fd())
+	for i, socket := range message.Sockets {
+		fds[i] = int(socket.Fd())
 	}
-	if _, _, err := n.conn.WriteMsgUnix(message.Text, syscall.UnixRights(fds...), nil); err != nil {
+	if _, _, err := s.conn.WriteMsgUnix(message.Text, syscall.UnixRights(fds...), nil); err != nil {
 		return err
 	}
 	message.Close()
@@ -160,4 +162,4 @@
 }
 
 // Close closes the connection to the next process.
-func (n *Successor) Close() { _ = n.conn.Close() }
+func (s *Successor) Close() { _ = s.conn.Close() }
--- a/internal/node/override/override_test.go
+++ b/internal/node/override/override_test.go
@@ -26,13 +26,13 @@
 		model := map[string]workerModel{}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(1, 1000).Draw(t, "ms")) * time.Millisecond
-			at, name := rapid.IntRange(0, 1).Draw(t, "process"), rapid.SampledFrom([]string{"a", "b"}).Draw(t, "name")
+			process, name := rapid.IntRange(0, 1).Draw(t, "process"), rapid.SampledFrom([]string{"a", "b"}).Draw(t, "name")
 			if rapid.IntRange(0, 3).Draw(t, "merge") == 0 {
-				processes[at].Merge(processes[1-at])
+				processes[process].Merge(processes[1-process])
 				continue
 			}
-			processes[1-at].Merge(processes[at]) // a call is stored under a lock, merged with all that is stored
-			processes[at].Merge(processes[1-at])
+			processes[1-process].Merge(processes[process]) // a call is stored under a lock, merged with all that is stored
+			processes[process].Merge(processes[1-process])
 			m, out := model[name], rapid.Bool().Draw(t, "out")
 			if out && !m.out {
 				m.since = now
@@ -41,7 +41,7 @@
 			}
 			m.out = out
 			model[name] = m
-			processes[at].Set(name, out, now)
+			processes[process].Set(name, out, now)
 		}
 		processes[0].Merge(processes[1])
 		processes[1].Merge(processes[0])
@@ -72,6 +72,6 @@
 	a.Merge(b)
 	b.Merge(Overrides{"x": {Out: true, At: time.Hour, Since: time.Hour}})
 	if a["x"] != b["x"] || a.Out("x") || a["x"].Back != 2*time.Hour {
-		t.Errorf("after the merge: got %+v and %+v, want both enabled since 2 h", a["x"], b["x"])
+		t.Errorf("after the merge: got %+v and %+v, want both enabled at 2h", a["x"], b["x"])
 	}
 }
