--- a/internal/node/routing/core.go
+++ b/internal/node/routing/core.go
@@ -11,8 +11,8 @@
 	"ospreybend/internal/node/timerqueue"
 )
 
-// graceAfterDeadline is how long after the deadline the core waits for the balancer's
-// decision before it answers an operation itself.
+// graceAfterDeadline is how long after an operation's deadline the core fails the operation
+// itself, if the balancer has not concluded it.
 const graceAfterDeadline = time.Millisecond
 
 // Clock is the event loop's clock.
@@ -21,16 +21,17 @@
 // operation is an operation in progress and its route steps.
 type operation struct {
 	Operation
-	steps     []slottable.Handle     // by number; a handle goes stale when its step ends
-	attempts  []balance.PriorAttempt // the same steps, as another process would need to know them
-	arrived   time.Duration
-	inFlight  int
-	gated     int  // of the steps in flight, those waiting for their gate
-	concluded bool // has its final answer, or was withdrawn
-	deadline  *timerqueue.Timer
+	steps         []slottable.Handle     // by attempt; a handle is stale once its step has ended
+	attempts      []balance.PriorAttempt // the same steps, in the form for another process
+	arrived       time.Duration
+	inFlight      int  // steps in flight
+	awaitingGate  int  // steps in flight that wait for their owner's Gate
+	concluded     bool // has its final answer or is withdrawn
+	deadlineTimer *timerqueue.Timer
 }
 
-// Core has the operations and route steps in progress. It belongs to the event loop.
+// Core has the operations and route steps in progress. Its methods must be called on the event
+// loop.
 type Core struct {
 	settings balance.Settings
 	balancer *balance.Balancer
@@ -42,55 +43,57 @@
 	pool         Pool
 	peers        Peers
 
-	// The state.
+	// State.
 	operations      slottable.Table[*operation]
 	steps           slottable.Table[*step]
 	open            int // operations without a final answer
 	workerStates    map[balance.WorkerID]balance.State
-	lastPeerMessage time.Duration // when a peer was last heard; 0: never
-	ownerDeadline   time.Duration // latest deadline of limitedOwner's operations
+	lastPeerMessage time.Duration // when the latest message of a peer was received; 0: never
+	ownerDeadline   time.Duration // latest deadline that operations of limitedOwner may have
 	limitedOwner    Owner         // nil: none
 
-	// Events that the balancer has not handled; see dispatch.
+	// Events that the balancer has not handled yet; see dispatch.
 	events      []balance.Event
 	dispatching bool
 
 	// Optional parts.
-	onIdle       func()       // called when the last open operation is concluded
+	onIdle       func()       // called whenever the last open operation is concluded
 	loadObserver LoadObserver // nil: none
 	stepObserver StepObserver // nil: none
 	admission    Admission    // nil: all operations are admitted
-	tracing      bool         // each operation and step is logged
+	tracing      bool         // log each operation and step
 	workerName   func(balance.WorkerID) string
 
 	counts Counts
 }
 
-// Counts are totals since the start.
+// Counts are totals since the start of the process.
 type Counts struct {
 	Operations, Served, Refused, Failed, Rejected, Gone, Moved, Steps uint64
 	Outcomes                                                          [balance.NotSent + 1]uint64
 	Classes                                                           []ClassCounts // by number
 }
 
-// ClassCounts are the final answers to the operations of one class. Rejected ones count as
-// failed here.
+// ClassCounts are the final answers to the operations of one class. Rejected operations are
+// counted as failed.
 type ClassCounts struct{ Served, Refused, Failed uint64 }
 
-// New returns a core. seed is the balancer's. Connect must be called before any other method.
+// New returns a core. seed is for the balancer's random numbers. Connect must be called before any
+// other method.
 func New(settings balance.Settings, seed uint64, clock Clock, timers *timerqueue.Queue) (*Core, error) {
 	balancer, err := balance.New(settings, seed)
 	if err != nil {
 		return nil, err
 	}
 	return &Core{settings: settings, balancer: balancer, clock: clock, timers: timers,
-		counts: Counts{Classes: make([]ClassCounts, len(settings.Classes))}, workerStates: map[balance.WorkerID]balance.State{}, onIdle: func() {}, tracing: tracing(),
+		workerStates: map[balance.WorkerID]balance.State{}, onIdle: func() {}, tracing: tracing(),
+		counts:     Counts{Classes: make([]ClassCounts, len(settings.Classes))},
 		workerName: func(id balance.WorkerID) string { return strconv.FormatUint(uint64(id), 16) }}, nil
 }
 
 // Connect sets the adapters to the destinations, to discovery and to the peers.
-func (c *Core) Connect(to Destinations, pool Pool, peers Peers) {
-	c.destinations, c.pool, c.peers = to, pool, peers
+func (c *Core) Connect(destinations Destinations, pool Pool, peers Peers) {
+	c.destinations, c.pool, c.peers = destinations, pool, peers
 }
 
 // SetLoadObserver sets the observer of the destinations' load.
@@ -99,17 +102,17 @@
 // SetStepObserver sets the observer of all route steps.
 func (c *Core) SetStepObserver(observer StepObserver) { c.stepObserver = observer }
 
-// SetAdmission sets the admission control of further operations.
+// SetAdmission sets the admission control for operations from now on.
 func (c *Core) SetAdmission(admission Admission) { c.admission = admission }
 
-// ZoneShares passes the fleet's decision on the zones' shares to the balancer.
-func (c *Core) ZoneShares(s balance.ZoneShares) { c.dispatch(s) }
+// ZoneShares passes the shares that the fleet has decided for the zones to the balancer.
+func (c *Core) ZoneShares(shares balance.ZoneShares) { c.dispatch(shares) }
 
 // Zones returns the balancer's view of the zones' ready destinations.
 func (c *Core) Zones() []balance.ZoneCapacity { return c.balancer.Zones(c.clock.Now()) }
 
-// EachWorker calls visit for each listed destination, with its state and the probability of a
-// failure there by the balancer's estimate.
+// EachWorker calls visit for each listed destination, with its state and the balancer's estimate
+// of the probability that an attempt there fails.
 func (c *Core) EachWorker(visit func(id balance.WorkerID, state balance.State, failureProbability float64)) {
 	for id, state := range c.workerStates {
 		visit(id, state, c.balancer.FailureProbability(c.clock.Now(), id))
@@ -118,8 +121,8 @@
 
 // AnyReady reports whether any destination is ready.
 func (c *Core) AnyReady() bool {
-	for _, s := range c.workerStates {
-		if s == balance.Ready {
+	for _, state := range c.workerStates {
+		if state == balance.Ready {
 			return true
 		}
 	}
@@ -132,11 +135,11 @@
 // Counts returns the totals since the start.
 func (c *Core) Counts() Counts { return c.counts }
 
-// OnIdle sets a callback for whenever the last open operation is concluded.
+// OnIdle sets a callback that is called whenever the last open operation is concluded.
 func (c *Core) OnIdle(callback func()) { c.onIdle = callback }
 
-// Accept registers an operation and starts its deadline. Nothing is sent before Route, so that
-// its owner can record the handle first.
+// Accept registers an operation and sets a timer for its deadline. Nothing is sent before Route, so
+// that the owner can store the handle first.
 func (c *Core) Accept(in Operation) slottable.Handle {
 	if c.limitedOwner != nil && in.Owner == c.limitedOwner {
 		in.Deadline = min(in.Deadline, c.ownerDeadline)
@@ -146,31 +149,31 @@
 	handle := c.operations.Add(operation)
 	c.open++
 	c.counts.Operations++
-	// The balancer decides a little before the deadline. Should it fail to, the client still
-	// gets an answer.
-	operation.deadline = c.timers.Add(in.Deadline+graceAfterDeadline, func() { c.overdue(handle) })
+	// The balancer concludes the operation shortly before the deadline. The timer makes sure that
+	// the client gets an answer even if the balancer does not.
+	operation.deadlineTimer = c.timers.Add(in.Deadline+graceAfterDeadline, func() { c.failOverdue(handle) })
 	return handle
 }
 
-// LimitDeadlines cuts the deadlines of all operations of an owner, later ones included, to a
-// time: the process may be killed after it. The balancer rejects or fails those that do not end
-// by then.
+// LimitDeadlines limits the deadlines of all operations of an owner, future ones included, to a
+// time after which the process may be killed. The balancer rejects or fails the operations that do
+// not end by then.
 func (c *Core) LimitDeadlines(owner Owner, at time.Duration) {
 	c.limitedOwner, c.ownerDeadline = owner, at
-	var refs []slottable.Handle
+	var handles []slottable.Handle
 	c.operations.All(func(handle slottable.Handle, operation *operation) {
 		if !operation.concluded && operation.Owner == owner && operation.Deadline > at {
-			refs = append(refs, handle)
+			handles = append(handles, handle)
 		}
 	})
-	for _, handle := range refs {
+	for _, handle := range handles {
 		operation := c.operations.Get(handle)
 		if operation == nil || operation.concluded {
 			continue
 		}
 		operation.Deadline = at
-		c.timers.Cancel(operation.deadline)
-		operation.deadline = c.timers.Add(at+graceAfterDeadline, func() { c.overdue(handle) })
+		c.timers.Cancel(operation.deadlineTimer)
+		operation.deadlineTimer = c.timers.Add(at+graceAfterDeadline, func() { c.failOverdue(handle) })
 		c.dispatch(balance.DeadlineShortened{Request: balance.RequestID(handle), Deadline: at})
 	}
 }
@@ -180,8 +183,8 @@
 	return c.lastPeerMessage > 0 && c.clock.Now()-c.lastPeerMessage <= window
 }
 
-// Route starts an operation: admission, then the balancer's decision. Its final answer may be
-// given before Route returns.
+// Route starts an accepted operation: it asks the admission control, then the balancer. The final
+// answer may be given before Route returns.
 func (c *Core) Route(handle slottable.Handle) {
 	operation := c.operations.Get(handle)
 	if operation == nil {
@@ -190,7 +193,7 @@
 	c.traceOperation("operation taken", operation, "class", operation.Class, "slots", operation.Slots, "hint_us", operation.Cost.Microseconds(),
 		"due_us", (operation.Deadline - operation.arrived).Microseconds())
 	if c.admission != nil {
-		if after, ok := c.admission.Admit(operation.Class); !ok {
+		if after, admitted := c.admission.Admit(operation.Class); !admitted {
 			c.conclude(handle, Answer{Verdict: Refused, RetryAfter: c.retryAdvice(after)})
 			return
 		}
@@ -198,23 +201,23 @@
 	c.dispatch(c.request(handle, operation))
 }
 
-// request returns an operation as the balancer sees it.
+// request returns the balancer's form of an operation.
 func (c *Core) request(handle slottable.Handle, operation *operation) balance.Request {
 	return balance.Request{ID: balance.RequestID(handle), Class: operation.Class, Tenant: operation.Tenant, Key: operation.Key,
 		Cost: operation.Cost, HasCost: operation.HasCost, ClientRetry: operation.Repeat, Slots: operation.Slots, Memory: operation.Memory,
 		Deadline: operation.Deadline}
 }
 
-// MayHaveRun reports whether a route step of the operation may have had an effect, or may yet
+// MayHaveRun reports whether a route step of the operation may have had an effect or may still
 // have one.
 func (c *Core) MayHaveRun(handle slottable.Handle) bool {
 	operation := c.operations.Get(handle)
-	return operation != nil && (operation.inFlight > operation.gated ||
-		slices.ContainsFunc(operation.attempts, func(t balance.PriorAttempt) bool { return t.MayHave && !t.Out }))
+	return operation != nil && (operation.inFlight > operation.awaitingGate ||
+		slices.ContainsFunc(operation.attempts, func(attempt balance.PriorAttempt) bool { return attempt.MayHave && !attempt.Out }))
 }
 
-// Withdraw ends an operation whose client is gone. Its steps are cancelled, and it gets no
-// answer.
+// Withdraw ends an operation whose client has disconnected. Its steps are cancelled, and it gets
+// no answer.
 func (c *Core) Withdraw(handle slottable.Handle) {
 	operation := c.operations.Get(handle)
 	if operation == nil || operation.concluded {
@@ -222,13 +225,13 @@
 	}
 	c.counts.Gone++
 	c.traceOperation("operation withdrawn", operation)
-	c.finish(operation)
+	c.markConcluded(operation)
 	c.dispatch(balance.RequestEnded{Request: balance.RequestID(handle)})
-	c.forget(handle, operation)
+	c.removeIfDone(handle, operation)
 }
 
-// overdue fails an operation that the balancer has not decided by its deadline.
-func (c *Core) overdue(handle slottable.Handle) {
+// failOverdue fails an operation that the balancer has not concluded by its deadline.
+func (c *Core) failOverdue(handle slottable.Handle) {
 	operation := c.operations.Get(handle)
 	if operation == nil || operation.concluded {
 		return
@@ -236,10 +239,10 @@
 	slog.Warn("operation overdue", "id", operation.Work.ID, "steps", len(operation.steps))
 	c.giveAnswer(handle, operation, Answer{Verdict: Failed})
 	c.dispatch(balance.RequestEnded{Request: balance.RequestID(handle)})
-	c.forget(handle, operation)
+	c.removeIfDone(handle, operation)
 }
 
-// giveAnswer gives the operation its one final answer; further calls are ignored.
+// giveAnswer gives an operation its final answer, unless it is concluded.
 func (c *Core) giveAnswer(handle slottable.Handle, operation *operation, answer Answer) {
 	if operation.concluded {
 		return
@@ -248,65 +251,66 @@
 	c.countVerdict(operation.Class, answer.Verdict)
 	c.traceOperation("operation answered", operation, "verdict", answer.Verdict, "retry_us", answer.RetryAfter.Microseconds(),
 		"may_have_run", answer.MayHaveRun)
-	c.finish(operation)
+	c.markConcluded(operation)
 	operation.Owner.Answered(handle, answer)
 	if c.loadObserver != nil {
 		c.loadObserver.OperationConcluded(operation.Owner, answer.Verdict)
 	}
 }
 
-// countVerdict counts a final answer, in all and for its class.
+// countVerdict counts a final answer in the totals and for the operation's class.
 func (c *Core) countVerdict(class int, verdict Verdict) {
-	of := &ClassCounts{}
+	classCounts := &ClassCounts{}
 	if class >= 0 && class < len(c.counts.Classes) {
-		of = &c.counts.Classes[class]
+		classCounts = &c.counts.Classes[class]
 	}
 	switch verdict {
 	case Served:
 		c.counts.Served++
-		of.Served++
+		classCounts.Served++
 	case Refused:
 		c.counts.Refused++
-		of.Refused++
+		classCounts.Refused++
 	case Failed:
 		c.counts.Failed++
-		of.Failed++
+		classCounts.Failed++
 	case Rejected:
 		c.counts.Rejected++
-		of.Failed++
+		classCounts.Failed++
 	}
 }
 
-// finish marks an operation as concluded.
-func (c *Core) finish(operation *operation) {
+// markConcluded marks an operation as concluded and cancels its timer. It calls onIdle if no other
+// operation is open.
+func (c *Core) markConcluded(operation *operation) {
 	operation.concluded = true
-	c.timers.Cancel(operation.deadline)
+	c.timers.Cancel(operation.deadlineTimer)
 	c.open--
 	if c.open == 0 {
 		c.onIdle()
 	}
 }
 
-// forget removes a concluded operation once it has no step in flight.
-func (c *Core) forget(handle slottable.Handle, operation *operation) {
+// removeIfDone removes an operation that is concluded and has no step in flight.
+func (c *Core) removeIfDone(handle slottable.Handle, operation *operation) {
 	if operation.concluded && operation.inFlight == 0 {
 		c.operations.Remove(handle)
 	}
 }
 
-// ProbeEnded takes the result of a probe, from Destinations.
-func (c *Core) ProbeEnded(ev balance.ProbeDone) {
-	if c.loadObserver != nil && ev.Report != nil {
-		c.loadObserver.LoadReported(ev.Worker, ev.Report)
+// ProbeEnded handles the result of a probe. Destinations calls it.
+func (c *Core) ProbeEnded(probe balance.ProbeDone) {
+	if c.loadObserver != nil && probe.Report != nil {
+		c.loadObserver.LoadReported(probe.Worker, probe.Report)
 	}
 	if c.tracing {
-		slog.Debug("probe ended", "destination", c.workerName(ev.Worker), "outcome", ev.Outcome, "after_us",
-			ev.Elapsed.Microseconds(), "report", ev.Report)
+		slog.Debug("probe ended", "destination", c.workerName(probe.Worker), "outcome", probe.Outcome, "after_us",
+			probe.Elapsed.Microseconds(), "report", probe.Report)
 	}
-	c.dispatch(ev)
+	c.dispatch(probe)
 }
 
-// PoolChanged takes a change of the listed destinations, from Pool.
+// PoolChanged handles a change of the list of destinations. Pool calls it.
 func (c *Core) PoolChanged(update balance.ListUpdate) {
 	switch update.Kind {
 	case balance.ListFull, balance.ListCached:
@@ -322,16 +326,16 @@
 	c.dispatch(update)
 }
 
-// PeerMessage takes a message of another node, from Peers.
+// PeerMessage handles a message of another node. Peers calls it.
 func (c *Core) PeerMessage(from int, payload []byte) {
 	c.lastPeerMessage = c.clock.Now()
 	c.dispatch(balance.PeerMessage{From: from, Payload: payload})
 }
 
-// dispatch passes an event to the balancer and carries out its actions. Events that these
-// cause are queued until it has returned, since the balancer is not reentrant.
-func (c *Core) dispatch(ev balance.Event) {
-	c.events = append(c.events, ev)
+// dispatch passes an event to the balancer and performs the actions that it returns. Events that
+// these actions cause are queued until they are all performed, since the balancer is not reentrant.
+func (c *Core) dispatch(event balance.Event) {
+	c.events = append(c.events, event)
 	if c.dispatching {
 		return
 	}
@@ -339,14 +343,14 @@
 	for len(c.events) > 0 {
 		next := c.events[0]
 		c.events = slices.Delete(c.events, 0, 1)
-		for _, a := range c.balancer.Handle(c.clock.Now(), next) {
-			c.perform(a)
+		for _, action := range c.balancer.Handle(c.clock.Now(), next) {
+			c.perform(action)
 		}
 	}
 	c.dispatching = false
 }
 
-// perform carries out one action of the balancer.
+// perform performs one action of the balancer.
 func (c *Core) perform(action balance.Action) {
 	switch action := action.(type) {
 	case balance.Send:
@@ -380,7 +384,7 @@
 	}
 }
 
-// retryAdvice limits a Retry-After to what the settings allow; 0: none.
+// retryAdvice limits a Retry-After to what the settings allow. 0 means that none is sent.
 func (c *Core) retryAdvice(after time.Duration) time.Duration {
 	if !c.settings.Limits.RetryAfter {
 		return 0
@@ -391,10 +395,10 @@
 	return after
 }
 
-// conclude answers an operation and removes it if it has no step in flight.
+// conclude gives an operation its final answer and removes it if it has no step in flight.
 func (c *Core) conclude(handle slottable.Handle, answer Answer) {
 	if operation := c.operations.Get(handle); operation != nil {
 		c.giveAnswer(handle, operation, answer)
-		c.forget(handle, operation)
+		c.removeIfDone(handle, operation)
 	}
 }
--- a/internal/node/routing/ports.go
+++ b/internal/node/routing/ports.go
@@ -1,14 +1,15 @@
-// Package routing is the node's core: it takes operations (requests) through their route
-// steps (attempts at destinations) to exactly one final answer each.
+// Package routing is the node's core. It routes operations (requests) by route steps (attempts at
+// destinations) and gives each exactly one final answer.
 //
-// Package balance decides where a step goes, whether it is retried and when an operation is
-// rejected; the core passes it events and carries out its actions, one at a time (core.go). It
-// enforces the rules that no decision may break (steps.go): no step to a destination that is not
-// ready, none after the deadline, none beyond the most attempts, none for a client that is gone.
+// Package balance decides where a step goes, whether an operation is retried and when it is
+// rejected; the core passes events to it and performs its actions, one at a time (core.go). The
+// core enforces the rules that hold whatever the balancer decides (steps.go): no step to a
+// destination that is not ready, after the deadline, beyond the maximum number of attempts or for a
+// client that has disconnected.
 //
-// It knows no HTTP, no JSON and no sockets. Fronts (protocol.Front, jobs.Manager),
+// The core does not depend on HTTP, JSON or sockets. Fronts (protocol.Front, jobs.Manager),
 // destinations and discovery are adapters behind the interfaces of this file. All of it runs on
-// the event loop, so that nothing is locked. handover.go moves operations between processes.
+// the event loop, so that it needs no locks. handover.go passes operations between processes.
 package routing
 
 import (
@@ -18,28 +19,28 @@
 	"ospreybend/internal/node/slottable"
 )
 
-// Work is a request as it is sent to a destination. The core passes it on unread. Encoded with
+// Work is a request as it is sent to a destination. The core does not read it. It is encoded with
 // gob; see OperationState.
 type Work struct {
-	ID         string // unique, as the client gave it
+	ID         string // unique; set by the client
 	Target     string // path and query
-	Idempotent string // the client's idempotency key, forwarded; empty: none
+	Idempotent string // the client's idempotency key, which is forwarded; empty: none
 	Body       []byte
 	Once       bool // non-idempotent; set by the core
 }
 
-// Operation is a request as a front submits it. Encoded with gob; see OperationState.
+// Operation is a request as a front submits it. It is encoded with gob; see OperationState.
 type Operation struct {
 	Work     Work
 	Class    int
 	Tenant   int
-	Key      uint64        // of session affinity; 0: none
-	Cost     time.Duration // the client's estimate, with HasCost
+	Key      uint64        // for session affinity; 0: none
+	Cost     time.Duration // the client's estimate; valid if HasCost is set
 	HasCost  bool
-	Repeat   bool // the client has sent the request before
+	Repeat   bool // the client has sent this request before
 	Slots    float64
-	Memory   float64       // in the settings' unit
-	Deadline time.Duration // on the loop's clock
+	Memory   float64       // in the unit of the settings
+	Deadline time.Duration // on the event loop's clock
 	Owner    Owner
 }
 
@@ -54,84 +55,85 @@
 	Rejected // a destination found the request invalid
 )
 
-// Answer is an operation's one final answer.
+// Answer is the final answer to an operation.
 type Answer struct {
 	Verdict    Verdict
 	Result     []byte        // of a served operation
-	RetryAfter time.Duration // advice with a refusal; 0: none
-	MayHaveRun bool          // some route step may have had effect
+	RetryAfter time.Duration // of a refused operation; 0: none
+	MayHaveRun bool          // some route step may have had an effect
 }
 
 // Owner is the front that submitted an operation.
 type Owner interface {
-	// Answered is called exactly once for each operation that is not withdrawn before.
-	Answered(operation slottable.Handle, a Answer)
+	// Answered is called exactly once for each operation, unless it is withdrawn or released before.
+	Answered(operation slottable.Handle, answer Answer)
 	// Started is called when a destination has begun to run the operation.
-	Started(operation slottable.Handle, at balance.WorkerID)
+	Started(operation slottable.Handle, destination balance.WorkerID)
 	// StepSent is called before the first byte of a route step is written.
-	StepSent(operation slottable.Handle, to balance.WorkerID)
+	StepSent(operation slottable.Handle, destination balance.WorkerID)
 	// StepEnded is called when a route step has ended and the operation has no final answer yet.
-	StepEnded(operation slottable.Handle, at balance.WorkerID, how balance.Outcome)
+	StepEnded(operation slottable.Handle, destination balance.WorkerID, outcome balance.Outcome)
 }
 
-// LoadObserver is told of the operations of all fronts, to estimate the destinations' load.
+// LoadObserver observes the operations of all fronts to estimate the destinations' load.
 type LoadObserver interface {
-	// StartDelay is called when a route step has started, with the time since it was sent.
-	StartDelay(owner Owner, wait time.Duration)
+	// StartDelay is called when a destination has begun to run a route step, with the time since the
+	// step was sent.
+	StartDelay(owner Owner, delay time.Duration)
 	// OperationConcluded is called with an operation's final answer.
-	OperationConcluded(owner Owner, v Verdict)
-	// LoadReported is called with a destination's load report, ordered as Settings.Report.
-	LoadReported(from balance.WorkerID, report []float32)
+	OperationConcluded(owner Owner, verdict Verdict)
+	// LoadReported is called with a destination's load report, in the order of Settings.Report.
+	LoadReported(destination balance.WorkerID, report []float32)
 }
 
-// StepObserver is told of all route steps, to measure the zones' health.
+// StepObserver observes all route steps to measure the zones' health.
 type StepObserver interface {
-	StepSent(step slottable.Handle, to balance.WorkerID, class int, slots float64)
+	StepSent(step slottable.Handle, destination balance.WorkerID, class int, slots float64)
 	StepStarted(step slottable.Handle)
-	// StepEnded is called for each step, also one that was never sent.
-	StepEnded(step slottable.Handle, how balance.Outcome)
+	// StepEnded is called for each step, including steps that were never sent.
+	StepEnded(step slottable.Handle, outcome balance.Outcome)
 }
 
-// Admission decides whether an operation is admitted. One that is not is answered Refused at
-// once, with after as its Retry-After.
+// Admission decides whether an operation is admitted. Others are answered at once with Refused,
+// and with retryAfter as the Retry-After.
 type Admission interface {
-	Admit(class int) (after time.Duration, ok bool)
+	Admit(class int) (retryAfter time.Duration, ok bool)
 }
 
-// Gate is an Owner that must do something, such as a write to a database, between the decision
-// for a route step and its first byte. BeforeSend returns at once; open is called on the
-// loop, within BeforeSend or later, once. open(false) ends the step unsent. Before it sends
-// the core checks the deadline, the destination's state and the final answer again. Until
-// then the step has certainly not run, however it ends.
+// Gate is an Owner that must finish something, such as a write to a database, before the first
+// byte of a route step is sent. BeforeSend must not block; it calls open once, on the event loop,
+// before or after it returns. open(false) ends the step unsent. After open(true) the core checks
+// the deadline, the destination's state and whether the operation is concluded again, and then
+// sends the step. Until then the step has certainly not run, whatever its outcome.
 type Gate interface {
 	BeforeSend(operation slottable.Handle, open func(ok bool))
 }
 
-// Waiter is an Owner that can check whether the client still waits for an operation, ahead of
-// the disconnect event. The core asks before each attempt's first byte. If the client is
-// gone, ClientWaits withdraws the operation and returns false.
+// Waiter is an Owner that can check whether an operation's client is still connected before the
+// event loop reports a disconnect. The core calls ClientWaits before the first byte of each
+// attempt. If the client has disconnected, ClientWaits withdraws the operation and returns false.
 type Waiter interface {
 	ClientWaits(operation slottable.Handle) bool
 }
 
-// StepEnd is how a route step ended.
+// StepEnd is the result of a route step.
 type StepEnd struct {
 	Outcome  balance.Outcome
-	Rejected bool // the destination found the request invalid
-	Result   []byte
-	Report   []float32
+	Rejected bool      // the destination found the request invalid
+	Result   []byte    // of a served step
+	Report   []float32 // the destination's load report; nil: none
 }
 
 // Destinations sends route steps to destinations. For each Send it calls Core.StepEnded once,
-// unless Abort is called before.
+// unless Abort is called first.
 type Destinations interface {
-	Send(step slottable.Handle, to balance.WorkerID, w *Work, until time.Duration)
+	Send(step slottable.Handle, destination balance.WorkerID, work *Work, deadline time.Duration)
 	Abort(step slottable.Handle) // closes the step's connection
-	Probe(to balance.WorkerID)
-	CloseIdle(to balance.WorkerID)
+	Probe(destination balance.WorkerID)
+	CloseIdle(destination balance.WorkerID) // closes idle connections
 }
 
-// Pool fetches the list of destinations from the pool config, and publishes it by
+// Pool fetches the list of destinations from the pool config and passes changes to
 // Core.PoolChanged.
 type Pool interface {
 	Watch(on bool)
--- a/internal/node/routing/steps.go
+++ b/internal/node/routing/steps.go
@@ -9,59 +9,61 @@
 	"ospreybend/internal/node/timerqueue"
 )
 
-// networkAllowance is the time that a request may take on the network: half of the tolerance of the platform's rules.
+// networkAllowance is the time that a request may take on the network. It is half of the tolerance
+// that the platform's rules allow.
 const networkAllowance = 25 * time.Millisecond
 
 // step is one route step: an attempt of an operation at a destination.
 type step struct {
-	op       slottable.Handle
-	number   int
-	to       balance.WorkerID
-	sentAt   time.Duration
-	until    time.Duration
-	deadline *timerqueue.Timer
-	gated    bool // waits for its owner's Gate
+	operation   slottable.Handle
+	attempt     int
+	destination balance.WorkerID
+	sentAt      time.Duration
+	deadline    time.Duration
+	timer       *timerqueue.Timer
+	awaitsGate  bool // its owner's Gate has not called open yet
 }
 
-// MayStart reports whether a route step may write its first byte now that its connection is
-// open. Meanwhile the destination may have begun to drain, the deadline may have passed, the
-// client may have disconnected or the window for repeats may be over.
+// MayStart reports whether a route step may still write its first byte once its connection is
+// open. Since the balancer's decision the destination may have begun to drain, the deadline may
+// have passed, the client may have disconnected or the deduplication window may have ended.
 func (c *Core) MayStart(handle slottable.Handle) bool {
 	s := c.steps.Get(handle)
 	if s == nil {
 		return false
 	}
-	state, listed := c.workerStates[s.to]
-	return listed && state == balance.Ready && c.clock.Now() < s.until && c.clientWaits(s.op) && c.inDedupWindow(s)
+	state, listed := c.workerStates[s.destination]
+	return listed && state == balance.Ready && c.clock.Now() < s.deadline && c.clientWaits(s.operation) && c.inDedupWindow(s)
 }
 
-// inDedupWindow reports whether a retry would arrive while the destinations still recognize it as a repeat.
-// Its connection may have been opened long after the balancer's decision, and its bytes are yet to travel.
+// inDedupWindow reports whether a retry would arrive while the destinations still recognize it as
+// a duplicate. Its connection may have been opened long after the balancer's decision, and the
+// request takes time on the network (networkAllowance).
 func (c *Core) inDedupWindow(s *step) bool {
-	operation := c.operations.Get(s.op)
+	operation := c.operations.Get(s.operation)
 	if operation.Class >= len(c.settings.Classes) || c.settings.Classes[operation.Class].Effect != balance.Deduplicated {
 		return true
 	}
-	for i, t := range operation.attempts {
-		if i != s.number && t.MayHave && c.clock.Now() > t.SentAt+c.settings.Classes[operation.Class].DedupWindow-networkAllowance {
+	for i, attempt := range operation.attempts {
+		if i != s.attempt && attempt.MayHave && c.clock.Now() > attempt.SentAt+c.settings.Classes[operation.Class].DedupWindow-networkAllowance {
 			return false
 		}
 	}
 	return true
 }
 
-// clientWaits reports whether the client waits for an operation's answer. If not, the owner
-// withdraws the operation within the call.
+// clientWaits reports whether the client still waits for an operation's answer. If it has
+// disconnected, the owner withdraws the operation within the call.
 func (c *Core) clientWaits(handle slottable.Handle) bool {
 	operation := c.operations.Get(handle)
 	if operation == nil || operation.concluded {
 		return false
 	}
-	w, ok := operation.Owner.(Waiter)
-	return !ok || w.ClientWaits(handle)
+	waiter, ok := operation.Owner.(Waiter)
+	return !ok || waiter.ClientWaits(handle)
 }
 
-// StepStarted takes the event that the destination has begun to run the step.
+// StepStarted handles the event that the destination has begun to run a step.
 func (c *Core) StepStarted(handle slottable.Handle) {
 	s := c.steps.Get(handle)
 	if s == nil {
@@ -71,80 +73,81 @@
 	if c.stepObserver != nil {
 		c.stepObserver.StepStarted(handle)
 	}
-	if operation := c.operations.Get(s.op); operation != nil && !operation.concluded {
-		operation.attempts[s.number].Started = c.clock.Now()
-		operation.Owner.Started(s.op, s.to)
+	if operation := c.operations.Get(s.operation); operation != nil && !operation.concluded {
+		operation.attempts[s.attempt].Started = c.clock.Now()
+		operation.Owner.Started(s.operation, s.destination)
 		if c.loadObserver != nil {
 			c.loadObserver.StartDelay(operation.Owner, c.clock.Now()-s.sentAt)
 		}
 	}
-	c.dispatch(balance.AttemptProgress{Request: balance.RequestID(s.op), Attempt: s.number, Worker: s.to, Started: true})
+	c.dispatch(balance.AttemptProgress{Request: balance.RequestID(s.operation), Attempt: s.attempt, Worker: s.destination, Started: true})
 }
 
-// StepProgress takes the share of the step that the destination has completed, from 0 to 1.
-func (c *Core) StepProgress(handle slottable.Handle, share float64) {
+// StepProgress handles a progress report: the fraction of a step that the destination has
+// completed, from 0 to 1.
+func (c *Core) StepProgress(handle slottable.Handle, fraction float64) {
 	if s := c.steps.Get(handle); s != nil {
-		c.dispatch(balance.AttemptProgress{Request: balance.RequestID(s.op), Attempt: s.number, Worker: s.to,
-			Progress: share})
+		c.dispatch(balance.AttemptProgress{Request: balance.RequestID(s.operation), Attempt: s.attempt, Worker: s.destination,
+			Progress: fraction})
 	}
 }
 
-// StepEnded takes the end of a route step; later events of the step are ignored.
+// StepEnded handles the end of a route step. Later events of the step are ignored.
 func (c *Core) StepEnded(handle slottable.Handle, end StepEnd) {
 	s := c.steps.Get(handle)
 	if s == nil {
 		return
 	}
 	c.steps.Remove(handle)
-	c.timers.Cancel(s.deadline)
+	c.timers.Cancel(s.timer)
 	if end.Rejected {
-		// The request is invalid at any destination: if it counted as a failure, one faulty
-		// client could make all destinations look unhealthy. To the balancer the step was
-		// cancelled.
+		// The request is invalid at every destination. If the balancer counted it as a failure,
+		// one faulty client could make all destinations look unhealthy, so the step is reported
+		// as cancelled.
 		end.Outcome = balance.Cancelled
 	}
 	c.counts.Outcomes[end.Outcome]++
 	c.traceStep("step ended", s, "outcome", end.Outcome, "report", end.Report)
-	operation := c.operations.Get(s.op)
+	operation := c.operations.Get(s.operation)
 	if c.stepObserver != nil {
 		c.stepObserver.StepEnded(handle, end.Outcome)
 	}
 	operation.inFlight--
-	operation.attempts[s.number].Out, operation.attempts[s.number].MayHave = false, !end.Outcome.NeverRan()
+	operation.attempts[s.attempt].Out, operation.attempts[s.attempt].MayHave = false, !end.Outcome.NeverRan()
 	if c.loadObserver != nil && end.Report != nil {
-		c.loadObserver.LoadReported(s.to, end.Report)
+		c.loadObserver.LoadReported(s.destination, end.Report)
 	}
 	if !operation.concluded {
-		operation.Owner.StepEnded(s.op, s.to, end.Outcome)
+		operation.Owner.StepEnded(s.operation, s.destination, end.Outcome)
 	}
 	switch {
 	case end.Rejected:
-		c.giveAnswer(s.op, operation, Answer{Verdict: Rejected})
+		c.giveAnswer(s.operation, operation, Answer{Verdict: Rejected})
 	case end.Outcome == balance.Served:
-		c.giveAnswer(s.op, operation, Answer{Verdict: Served, Result: end.Result})
+		c.giveAnswer(s.operation, operation, Answer{Verdict: Served, Result: end.Result})
 	}
-	c.dispatch(balance.AttemptDone{Request: balance.RequestID(s.op), Attempt: s.number, Worker: s.to,
+	c.dispatch(balance.AttemptDone{Request: balance.RequestID(s.operation), Attempt: s.attempt, Worker: s.destination,
 		Outcome: end.Outcome, Elapsed: c.clock.Now() - s.sentAt, Over: operation.concluded, Report: end.Report})
-	c.forget(s.op, operation)
+	c.removeIfDone(s.operation, operation)
 }
 
-// send starts a route step. One that the rules forbid ends as not sent, whatever the
+// send starts a route step. A step that the core's rules forbid ends as NotSent, whatever the
 // balancer has decided.
-func (c *Core) send(handle slottable.Handle, send balance.Send) {
+func (c *Core) send(handle slottable.Handle, action balance.Send) {
 	operation, now := c.operations.Get(handle), c.clock.Now()
 	if operation == nil {
 		return
 	}
-	until := operation.Deadline
-	if send.Until > 0 {
-		until = min(until, send.Until)
+	deadline := operation.Deadline
+	if action.Until > 0 {
+		deadline = min(deadline, action.Until)
 	}
-	s := &step{op: handle, number: len(operation.steps), to: send.Worker, sentAt: now, until: until}
+	s := &step{operation: handle, attempt: len(operation.steps), destination: action.Worker, sentAt: now, deadline: deadline}
 	stepHandle := c.steps.Add(s)
 	operation.steps = append(operation.steps, stepHandle)
-	operation.attempts = append(operation.attempts, balance.PriorAttempt{Worker: send.Worker, SentAt: now, Out: true, MayHave: true})
+	operation.attempts = append(operation.attempts, balance.PriorAttempt{Worker: action.Worker, SentAt: now, Out: true, MayHave: true})
 	operation.inFlight++
-	state, listed := c.workerStates[send.Worker]
+	state, listed := c.workerStates[action.Worker]
 	if !c.clientWaits(handle) || !listed || state != balance.Ready || len(operation.steps) > c.settings.Limits.MaxAttempts || !c.inDedupWindow(s) {
 		c.StepEnded(stepHandle, StepEnd{Outcome: balance.NotSent})
 		return
@@ -152,55 +155,56 @@
 	c.counts.Steps++
 	c.traceStep("step sent", s)
 	if c.stepObserver != nil {
-		c.stepObserver.StepSent(stepHandle, send.Worker, operation.Class, operation.Slots)
+		c.stepObserver.StepSent(stepHandle, action.Worker, operation.Class, operation.Slots)
 	}
-	s.deadline = c.timers.Add(until, func() { c.endStep(stepHandle, balance.TimedOut) })
-	operation.Owner.StepSent(handle, send.Worker)
+	s.timer = c.timers.Add(deadline, func() { c.endStep(stepHandle, balance.TimedOut) })
+	operation.Owner.StepSent(handle, action.Worker)
 	gate, ok := operation.Owner.(Gate)
 	if !ok {
-		c.destinations.Send(stepHandle, send.Worker, &operation.Work, until)
+		c.destinations.Send(stepHandle, action.Worker, &operation.Work, deadline)
 		return
 	}
-	s.gated = true
-	operation.gated++
-	gate.BeforeSend(handle, func(ok bool) { c.openGate(stepHandle, ok) })
+	s.awaitsGate = true
+	operation.awaitingGate++
+	gate.BeforeSend(handle, func(ok bool) { c.gateOpened(stepHandle, ok) })
 }
 
-// openGate sends a step once its owner allows it, or ends it unsent: if the owner does not
-// allow it, or if it may not start any more.
-func (c *Core) openGate(stepHandle slottable.Handle, ok bool) {
+// gateOpened handles the owner's call of open: it sends the step, or ends it unsent if the owner
+// does not allow it or it may not start any more.
+func (c *Core) gateOpened(stepHandle slottable.Handle, ok bool) {
 	s := c.steps.Get(stepHandle)
-	if s == nil || !s.gated {
+	if s == nil || !s.awaitsGate {
 		return
 	}
-	operation := c.operations.Get(s.op)
-	s.gated = false
-	operation.gated--
+	operation := c.operations.Get(s.operation)
+	s.awaitsGate = false
+	operation.awaitingGate--
 	if !ok || !c.MayStart(stepHandle) {
 		c.StepEnded(stepHandle, StepEnd{Outcome: balance.NotSent})
 		return
 	}
 	faultinjection.Hit(faultinjection.GateOpen)
-	c.destinations.Send(stepHandle, s.to, &operation.Work, s.until)
+	c.destinations.Send(stepHandle, s.destination, &operation.Work, s.deadline)
 }
 
 // cancel ends a step that the balancer cancels.
-func (c *Core) cancel(handle slottable.Handle, number int) {
-	if operation := c.operations.Get(handle); operation != nil && number >= 0 && number < len(operation.steps) {
-		c.endStep(operation.steps[number], balance.Cancelled)
+func (c *Core) cancel(handle slottable.Handle, attempt int) {
+	if operation := c.operations.Get(handle); operation != nil && attempt >= 0 && attempt < len(operation.steps) {
+		c.endStep(operation.steps[attempt], balance.Cancelled)
 	}
 }
 
-// endStep abandons a step with an outcome, and closes its connection.
-func (c *Core) endStep(handle slottable.Handle, as balance.Outcome) {
+// endStep ends a step with an outcome and closes its connection. A step that waits for its gate ends
+// as NotSent.
+func (c *Core) endStep(handle slottable.Handle, outcome balance.Outcome) {
 	s := c.steps.Get(handle)
 	if s == nil {
 		return
 	}
-	if s.gated {
-		c.openGate(handle, false) // it never ran, whatever the outcome was to be
+	if s.awaitsGate {
+		c.gateOpened(handle, false) // it has not run, so that outcome does not apply
 		return
 	}
 	c.destinations.Abort(handle)
-	c.StepEnded(handle, StepEnd{Outcome: as})
+	c.StepEnded(handle, StepEnd{Outcome: outcome})
 }
