--- a/internal/node/eventloop/conn.go
+++ b/internal/node/eventloop/conn.go
@@ -42,7 +42,7 @@
 	onEnded   func() // called when a lingering connection is closed
 	buffer    []byte
 	consumed  int  // bytes of buffer that the handler has consumed
-	pumping   bool // a call of the handler's Data is in progress
+	processing   bool // a call of the handler's Data is in progress
 	closed    bool
 	unsent    bool // closed before the operating system had taken all bytes
 	lingering bool
@@ -77,12 +77,12 @@
 // Pump passes the bytes in the buffer to the handler again, for example when it has become ready
 // for the next pipelined message.
 func (c *Conn) Pump() {
-	if c.pumping || c.closed || c.lingering || c.consumed == len(c.buffer) {
+	if c.processing || c.closed || c.lingering || c.consumed == len(c.buffer) {
 		return
 	}
-	c.pumping = true
+	c.processing = true
 	c.consumed += c.handler.Data(c, c.buffer[c.consumed:])
-	c.pumping = false
+	c.processing = false
 	if c.consumed == len(c.buffer) {
 		c.buffer, c.consumed = c.buffer[:0], 0
 		if cap(c.buffer) > maxRetainedBuffer {
--- a/internal/node/override/override.go
+++ b/internal/node/override/override.go
@@ -26,15 +26,15 @@
 // Out reports whether a prep worker is disabled.
 func (o Overrides) Out(name string) bool { return o[name].Out }
 
-// Set disables (out) or enables a prep worker. One call that enables undoes any number of calls
+// Set disables or enables a prep worker. One call that enables undoes any number of calls
 // that disable. Enabling a prep worker that is not disabled changes only the time of its override.
-func (o Overrides) Set(name string, out bool, now time.Duration) {
+func (o Overrides) Set(name string, disabled bool, now time.Duration) {
 	old := o[name]
-	next := Override{Out: out, At: max(now, old.At+time.Microsecond), Since: old.Since, Back: old.Back}
+	next := Override{Out: disabled, At: max(now, old.At+time.Microsecond), Since: old.Since, Back: old.Back}
 	switch {
-	case old.Out && !out:
+	case old.Out && !disabled:
 		next.Back = next.At
-	case out && !old.Out:
+	case disabled && !old.Out:
 		next.Since = next.At
 	}
 	o[name] = next
--- a/internal/node/routing/steps.go
+++ b/internal/node/routing/steps.go
@@ -33,7 +33,7 @@
 		return false
 	}
 	state, listed := c.workerStates[s.destination]
-	return listed && state == balance.Ready && c.clock.Now() < s.deadline && c.clientWaits(s.operation) && c.inDedupWindow(s)
+	return listed && state == balance.Ready && c.clock.Now() < s.deadline && c.clientConnected(s.operation) && c.inDedupWindow(s)
 }
 
 // inDedupWindow reports whether a retry would arrive while the destinations still recognize it as
@@ -52,9 +52,9 @@
 	return true
 }
 
-// clientWaits reports whether the client still waits for an operation's answer. If it has
-// disconnected, the owner withdraws the operation within the call.
-func (c *Core) clientWaits(handle slottable.Handle) bool {
+// clientConnected reports whether an operation has no answer yet and its client is connected. If the
+// client has disconnected, the owner withdraws the operation within the call.
+func (c *Core) clientConnected(handle slottable.Handle) bool {
 	operation := c.operations.Get(handle)
 	if operation == nil || operation.concluded {
 		return false
@@ -148,7 +148,7 @@
 	operation.attempts = append(operation.attempts, balance.PriorAttempt{Worker: action.Worker, SentAt: now, Out: true, MayHave: true})
 	operation.inFlight++
 	state, listed := c.workerStates[action.Worker]
-	if !c.clientWaits(handle) || !listed || state != balance.Ready || len(operation.steps) > c.settings.Limits.MaxAttempts || !c.inDedupWindow(s) {
+	if !c.clientConnected(handle) || !listed || state != balance.Ready || len(operation.steps) > c.settings.Limits.MaxAttempts || !c.inDedupWindow(s) {
 		c.StepEnded(stepHandle, StepEnd{Outcome: balance.NotSent})
 		return
 	}
