--- a/internal/controlplane/server/codes.go
+++ b/internal/controlplane/server/codes.go
@@ -6,10 +6,10 @@
 	"ospreybend/internal/util/resultcode"
 )
 
-// Code numbers an error of the API that neither the configuration nor the registry reports. A number is never reused.
+// Code identifies an API error that comes neither from package configuration nor from package registry. Numbers are never reused.
 type Code = resultcode.Code
 
-// Codes of the API. See docs/ERRORS.md.
+// Error codes of the API. See docs/ERRORS.md.
 const (
 	NoOwner         Code = 1200
 	OutcomeUnknown  Code = 1201
@@ -18,11 +18,11 @@
 	BadBaseVersion  Code = 1204
 	BodyTooLarge    Code = 1205
 	MissingInstance Code = 1206
-	Leaving         Code = 1207
+	ShuttingDown    Code = 1207
 	InternalFault   Code = 1208
 )
 
-// CodeEntry is one row of the table of codes.
+// CodeEntry is one row of the table of error codes.
 type CodeEntry = resultcode.Entry
 
 var codes = resultcode.NewTable([]CodeEntry{
@@ -33,9 +33,9 @@
 	{Code: BadBaseVersion, Name: "bad_base_version", HTTPStatus: http.StatusBadRequest, Text: "X-Base-Version is not a whole number"},
 	{Code: BodyTooLarge, Name: "body_too_large", HTTPStatus: http.StatusRequestEntityTooLarge, Text: "the body is too large"},
 	{Code: MissingInstance, Name: "missing_instance", HTTPStatus: http.StatusBadRequest, Text: "the path names no instance"},
-	{Code: Leaving, Name: "leaving", HTTPStatus: http.StatusServiceUnavailable, Text: "this keeper is about to end"},
+	{Code: ShuttingDown, Name: "leaving", HTTPStatus: http.StatusServiceUnavailable, Text: "this keeper is about to end"},
 	{Code: InternalFault, Name: "internal_fault", HTTPStatus: http.StatusServiceUnavailable, Text: "the call failed within this keeper"},
 }...)
 
-// Codes returns all codes in ascending order.
+// Codes returns all error codes of this package in ascending order.
 func Codes() []CodeEntry { return codes.Entries() }
