--- a/internal/node/eventloop/conn.go
+++ b/internal/node/eventloop/conn.go
@@ -71,12 +71,12 @@
 		c.consumed = 0
 	}
 	c.buffer = append(c.buffer, data...)
-	c.Pump()
+	c.ProcessBuffered()
 }
 
 // Pump passes the bytes in the buffer to the handler again, for example when it has become ready
 // for the next pipelined message.
-func (c *Conn) Pump() {
+func (c *Conn) ProcessBuffered() {
 	if c.processing || c.closed || c.lingering || c.consumed == len(c.buffer) {
 		return
 	}
--- a/internal/node/protocol/admin.go
+++ b/internal/node/protocol/admin.go
@@ -192,7 +192,7 @@
 // MergeOverrides applies overrides stored by this process or another one of this node.
 func (a *Admin) MergeOverrides(stored override.Overrides) {
 	for _, name := range a.overrides.Merge(stored) {
-		slog.Info("manual override applied", "prep_worker", name, "out", a.overrides.Out(name), "recorded", true)
+		slog.Info("manual override applied", "prep_worker", name, "out", a.overrides.Disabled(name), "recorded", true)
 		a.applyOverride(workerIDOf(name))
 	}
 }
@@ -234,7 +234,7 @@
 // or avoided by the balancer.
 func (a *Admin) countExcluded() (n int) {
 	a.core.EachWorker(func(id balance.WorkerID, _ balance.State, failureProbability float64) {
-		if failureProbability >= avoidedFailureProbability || a.overrides.Out(a.discovery.names[id]) {
+		if failureProbability >= avoidedFailureProbability || a.overrides.Disabled(a.discovery.names[id]) {
 			n++
 		}
 	})
--- a/internal/node/protocol/admin_test.go
+++ b/internal/node/protocol/admin_test.go
@@ -183,7 +183,7 @@
 			fx.Play("wait 800ms\no expect HTTP/1.1 50\no closed")
 		}
 		fx.Loop.Call(func() {
-			if !a.overrides.Out("s-1") {
+			if !a.overrides.Disabled("s-1") {
 				t.Error("s-1 after its enabling was answered with an error: got enabled, want disabled")
 			}
 		})
--- a/internal/node/protocol/connection_end_test.go
+++ b/internal/node/protocol/connection_end_test.go
@@ -52,7 +52,7 @@
 
 // waitForGone waits until n operations have ended because their clients disconnected.
 func (fx *fixture) waitForGone(n uint64) {
-	fx.WaitUntil(func() bool { return fx.core.Counts().Gone == n })
+	fx.WaitUntil(func() bool { return fx.core.Counts().Withdrawn == n })
 }
 
 // A client sends its request and disconnects before the busy loop has read a byte of it: no
@@ -339,7 +339,7 @@
 	fx.checkTotals(t)
 }
 
-var _ routing.Waiter = (*Front)(nil)
+var _ routing.DisconnectChecker = (*Front)(nil)
 
 // A prep worker stalls in the middle of its response, or resets the connection long after the response began. A booking
 // fails, at its deadline or with the reset, and is not retried. An idempotent request is retried, and its client is served.
--- a/internal/node/protocol/fixture_test.go
+++ b/internal/node/protocol/fixture_test.go
@@ -84,7 +84,7 @@
 	t.Helper()
 	fx.Loop.Call(func() {
 		c := fx.core.Counts()
-		if c.Operations != c.Served+c.Refused+c.Failed+c.Rejected+c.Gone+c.Moved+uint64(fx.core.OpenOperations()) {
+		if c.Operations != c.Served+c.Refused+c.Failed+c.Rejected+c.Withdrawn+c.HandedOver+uint64(fx.core.OpenOperations()) {
 			t.Errorf("operations are not the sum of final answers and open operations: %+v, %d open", c, fx.core.OpenOperations())
 		}
 	})
--- a/internal/node/protocol/front.go
+++ b/internal/node/protocol/front.go
@@ -251,7 +251,7 @@
 
 // ClientWaits implements routing.Waiter: it asks the operating system whether an operation's
 // client is still connected. The loop sees a disconnect only after it has read all earlier input.
-func (f *Front) ClientWaits(op slottable.Handle) bool {
+func (f *Front) ClientConnected(op slottable.Handle) bool {
 	call := f.calls[op]
 	if call == nil || !call.client.conn.PeerClosed() {
 		return true
--- a/internal/node/protocol/platform_test.go
+++ b/internal/node/protocol/platform_test.go
@@ -321,7 +321,7 @@
 	})
 	t.Run("overridden", func(t *testing.T) {
 		drainWhileConnecting(t, func(fx *fixture, up balance.ListUpdate) {
-			fx.discovery.config.Overrides = override.Overrides{"s-1": {Out: true}, "s-2": {Out: true}}
+			fx.discovery.config.Overrides = override.Overrides{"s-1": {Disabled: true}, "s-2": {Disabled: true}}
 			for _, l := range up.Workers {
 				fx.discovery.Republish(l.Worker)
 			}
--- a/internal/node/protocol/server_call.go
+++ b/internal/node/protocol/server_call.go
@@ -30,7 +30,7 @@
 	client.call = nil
 	client.server.bufferedBytes -= c.bodySize
 	client.reply(status, extra, body, c.closeAfter || client.server.stopping)
-	client.conn.Pump()
+	client.conn.ProcessBuffered()
 }
 
 // BeginStream starts a chunked answer, to which Write adds chunks until EndStream. It returns
@@ -87,7 +87,7 @@
 		client.closeAfterLastReply()
 		return
 	}
-	client.conn.Pump()
+	client.conn.ProcessBuffered()
 }
 
 // Reject answers an invalid call, counts it and closes the connection.
--- a/internal/node/routing/ports.go
+++ b/internal/node/routing/ports.go
@@ -112,8 +112,8 @@
 // Waiter is an Owner that can check whether an operation's client is still connected before the
 // event loop reports a disconnect. The core calls ClientWaits before the first byte of each
 // attempt. If the client has disconnected, ClientWaits withdraws the operation and returns false.
-type Waiter interface {
-	ClientWaits(operation slottable.Handle) bool
+type DisconnectChecker interface {
+	ClientConnected(operation slottable.Handle) bool
 }
 
 // StepEnd is the result of a route step.
