--- a/cmd/ospreybend/hot_restart.go
+++ b/cmd/ospreybend/hot_restart.go
@@ -107,7 +107,7 @@
 // adoptHandover takes over one client's connection with the requests in flight on it, or the module's learned state. It
 // runs off the loop.
 func (n *node) adoptHandover(message hotrestart.Message) {
-	handover, err := protocol.DecodeHandover(message.Text, len(message.Sockets))
+	handover, err := protocol.DecodeHandover(message.Payload, len(message.Sockets))
 	if err != nil {
 		slog.Error("client connection lost in the hand-over", "error", err)
 		message.Close()
@@ -189,7 +189,7 @@
 // connection again.
 func (n *node) sendHandover(successor *hotrestart.Successor, handover *protocol.Handover, sockets []*os.File) bool {
 	text, err := handover.Encode()
-	message := hotrestart.Message{Text: text, Sockets: sockets}
+	message := hotrestart.Message{Payload: text, Sockets: sockets}
 	if err == nil && successor != nil {
 		if err = successor.Send(message); err == nil {
 			return true
--- a/cmd/ospreybend/node.go
+++ b/cmd/ospreybend/node.go
@@ -233,7 +233,7 @@
 func (n *node) logCounts() {
 	core, front, discovery := n.core.Counts(), n.front.Counts(), n.discovery.Counts()
 	slog.Info("counts", "operations", core.Operations, "served", core.Served, "refused", core.Refused, "failed", core.Failed,
-		"rejected", core.Rejected, "gone", core.Gone, "moved", core.Moved, "open", n.core.OpenOperations(), "steps", core.Steps,
+		"rejected", core.Rejected, "gone", core.Withdrawn, "moved", core.HandedOver, "open", n.core.OpenOperations(), "steps", core.Steps,
 		"outcomes", fmt.Sprint(core.Outcomes),
 		"turned_away", front.Rejected, "silent", front.Silent, "shed", front.Shed, "full", front.Full,
 		"list_asked", discovery.Sent, "list_answered", discovery.Answered, "list_refused", discovery.Rejected, "list_silent", discovery.TimedOut)
--- a/internal/node/eventloop/handover.go
+++ b/internal/node/eventloop/handover.go
@@ -46,7 +46,7 @@
 		handler.Closed(c)
 		return
 	}
-	c.Pump()
+	c.ProcessBuffered()
 }
 
 // Adopt registers sockets that another process has handed over, each with its unconsumed input. It
@@ -80,10 +80,10 @@
 	return err
 }
 
-// Count adds an adopted connection to the number of the listener's open connections until release
+// CountAdopted adds an adopted connection to the number of the listener's open connections until release
 // is called. It needs no slot: the connection does not count towards the listener's maximum, as
 // the node already had it.
-func (ln *Listener) Count() (release func()) {
+func (ln *Listener) CountAdopted() (release func()) {
 	ln.open.Add(1)
 	return func() { ln.open.Add(-1) }
 }
--- a/internal/node/eventloop/loop.go
+++ b/internal/node/eventloop/loop.go
@@ -205,12 +205,12 @@
 	}
 }
 
-// Packets is a UDP socket.
-type Packets struct{ conn *net.UDPConn }
+// DatagramSocket is a UDP socket.
+type DatagramSocket struct{ conn *net.UDPConn }
 
-// ListenPackets receives datagrams on an address until the socket is closed, and calls handle on
+// ListenDatagrams receives datagrams on an address until the socket is closed, and calls handle on
 // the loop with each. It may be called outside the loop.
-func (l *Loop) ListenPackets(address string, handle func(from netip.AddrPort, data []byte)) (*Packets, error) {
+func (l *Loop) ListenDatagrams(address string, handle func(from netip.AddrPort, data []byte)) (*DatagramSocket, error) {
 	local, err := net.ResolveUDPAddr("udp", address)
 	if err != nil {
 		return nil, err
@@ -233,16 +233,16 @@
 			l.Post(func() { handle(from, data) })
 		}
 	}()
-	return &Packets{conn: conn}, nil
+	return &DatagramSocket{conn: conn}, nil
 }
 
 // Send sends a datagram, which may be lost.
-func (p *Packets) Send(to *net.UDPAddr, data []byte) {
+func (p *DatagramSocket) Send(to *net.UDPAddr, data []byte) {
 	_, _ = p.conn.WriteToUDP(data, to)
 }
 
 // Close closes the socket.
-func (p *Packets) Close() { _ = p.conn.Close() }
+func (p *DatagramSocket) Close() { _ = p.conn.Close() }
 
 // OnOpen is gnet's callback for a connection that the loop has registered.
 func (l *Loop) OnOpen(raw gnet.Conn) ([]byte, gnet.Action) {
--- a/internal/node/hotrestart/compatibility_test.go
+++ b/internal/node/hotrestart/compatibility_test.go
@@ -16,7 +16,7 @@
 // compatibilityOverrides returns an override with every field set and one with only the required fields.
 func compatibilityOverrides() override.Overrides {
 	return override.Overrides{
-		"worker-1": {Out: true, At: 3 * time.Second, Since: 2 * time.Second, Back: time.Second},
+		"worker-1": {Disabled: true, At: 3 * time.Second, DisabledAt: 2 * time.Second, EnabledAt: time.Second},
 		"worker-2": {At: time.Minute},
 	}
 }
--- a/internal/node/hotrestart/directory_test.go
+++ b/internal/node/hotrestart/directory_test.go
@@ -45,7 +45,7 @@
 				t.Errorf("%s file: Change by process %d: %v", damage, i, err)
 			}
 		}
-		if overrides, err := a.Overrides(); err != nil || !overrides.Out("x") || !overrides.Out("y") || len(overrides) != 2 {
+		if overrides, err := a.Overrides(); err != nil || !overrides.Disabled("x") || !overrides.Disabled("y") || len(overrides) != 2 {
 			t.Errorf("%s file, after both changes: got overrides %+v, error %v, want x and y disabled", damage, overrides, err)
 		}
 		_ = os.WriteFile(filepath.Join(a.path, lockPrefix+"1"), nil, 0o600)
@@ -79,16 +79,16 @@
 		t.Fatal(err)
 	}
 	defer reader.Close()
-	if err := successor.Send(Message{Text: make([]byte, 150<<10), Sockets: []*os.File{writer}}); err != nil {
+	if err := successor.Send(Message{Payload: make([]byte, 150<<10), Sockets: []*os.File{writer}}); err != nil {
 		t.Fatal(err)
 	}
 	message, buf := <-received, make([]byte, 2)
 	_, _ = message.Sockets[0].WriteString("hi")
-	if n, err := reader.Read(buf); err != nil || string(buf[:n]) != "hi" || len(message.Text) != 150<<10 {
-		t.Errorf("got a message of %d bytes, and %q, error %v through its socket, want %d bytes and %q", len(message.Text), buf, err, 150<<10, "hi")
+	if n, err := reader.Read(buf); err != nil || string(buf[:n]) != "hi" || len(message.Payload) != 150<<10 {
+		t.Errorf("got a message of %d bytes, and %q, error %v through its socket, want %d bytes and %q", len(message.Payload), buf, err, 150<<10, "hi")
 	}
 	message.Close()
-	if err := successor.Send(Message{Text: make([]byte, maxMessageBytes+1)}); err == nil {
+	if err := successor.Send(Message{Payload: make([]byte, maxMessageBytes+1)}); err == nil {
 		t.Error("Send of a message that is too long: got no error")
 	}
 	if stop(); a.Successor() != nil {
--- a/internal/node/hotrestart/handover.go
+++ b/internal/node/hotrestart/handover.go
@@ -21,7 +21,7 @@
 
 // Message is a message to the next process, with the sockets that are passed with it.
 type Message struct {
-	Text    []byte
+	Payload []byte
 	Sockets []*os.File
 }
 
@@ -81,7 +81,7 @@
 		if err != nil || n == 0 {
 			return
 		}
-		message := Message{Text: append([]byte(nil), text[:n]...), Sockets: receivedSockets(control[:controlLength])}
+		message := Message{Payload: append([]byte(nil), text[:n]...), Sockets: receivedSockets(control[:controlLength])}
 		if flags&(syscall.MSG_TRUNC|syscall.MSG_CTRUNC) != 0 {
 			slog.Error("handover message too long, dropped", "bytes", n, "sockets", len(message.Sockets))
 			message.Close()
@@ -146,15 +146,15 @@
 // Send sends a message and closes its sockets in this process. If it returns an error, the sockets
 // are still open.
 func (s *Successor) Send(message Message) error {
-	if len(message.Text) > maxMessageBytes || len(message.Sockets) > maxSocketsPerMessage {
+	if len(message.Payload) > maxMessageBytes || len(message.Sockets) > maxSocketsPerMessage {
 		return fmt.Errorf("message of %d bytes and %d sockets is too long: the limits are %d and %d",
-			len(message.Text), len(message.Sockets), maxMessageBytes, maxSocketsPerMessage)
+			len(message.Payload), len(message.Sockets), maxMessageBytes, maxSocketsPerMessage)
 	}
 	fds := make([]int, len(message.Sockets))
 	for i, socket := range message.Sockets {
 		fds[i] = int(socket.Fd())
 	}
-	if _, _, err := s.conn.WriteMsgUnix(message.Text, syscall.UnixRights(fds...), nil); err != nil {
+	if _, _, err := s.conn.WriteMsgUnix(message.Payload, syscall.UnixRights(fds...), nil); err != nil {
 		return err
 	}
 	message.Close()
--- a/internal/node/override/override.go
+++ b/internal/node/override/override.go
@@ -1,4 +1,4 @@
-// Package override has the operators' manual overrides, which disable ("out") and enable prep
+// Package override has the operators' manual overrides, which disable ("out" in JSON) and enable prep
 // workers. They are applied to the endpoint list: the core and the balancer see a disabled prep
 // worker as draining, and one enabled again as just started.
 //
@@ -14,28 +14,28 @@
 
 // Override is the latest override of a prep worker. Times are on the event loop's clock.
 type Override struct {
-	Out   bool          `json:"out"`             // disabled
-	At    time.Duration `json:"at"`              // when the latest call was made
-	Since time.Duration `json:"since,omitempty"` // when it was last disabled; 0: never
-	Back  time.Duration `json:"back,omitempty"`  // when it was last enabled again; 0: never
+	Disabled   bool          `json:"out"`
+	At         time.Duration `json:"at"`              // when the latest call was made
+	DisabledAt time.Duration `json:"since,omitempty"` // when it was last disabled; 0: never
+	EnabledAt  time.Duration `json:"back,omitempty"`  // when it was last enabled again; 0: never
 }
 
 // Overrides has the latest override of each prep worker, by name.
 type Overrides map[string]Override
 
-// Out reports whether a prep worker is disabled.
-func (o Overrides) Out(name string) bool { return o[name].Out }
+// Disabled reports whether a prep worker is disabled.
+func (o Overrides) Disabled(name string) bool { return o[name].Disabled }
 
 // Set disables or enables a prep worker. One call that enables undoes any number of calls
 // that disable. Enabling a prep worker that is not disabled changes only the time of its override.
 func (o Overrides) Set(name string, disabled bool, now time.Duration) {
 	old := o[name]
-	next := Override{Out: disabled, At: max(now, old.At+time.Microsecond), Since: old.Since, Back: old.Back}
+	next := Override{Disabled: disabled, At: max(now, old.At+time.Microsecond), DisabledAt: old.DisabledAt, EnabledAt: old.EnabledAt}
 	switch {
-	case old.Out && !disabled:
-		next.Back = next.At
-	case disabled && !old.Out:
-		next.Since = next.At
+	case old.Disabled && !disabled:
+		next.EnabledAt = next.At
+	case disabled && !old.Disabled:
+		next.DisabledAt = next.At
 	}
 	o[name] = next
 }
@@ -51,7 +51,7 @@
 			continue
 		}
 		o[name] = next
-		if next.Out != old.Out || next.Back != old.Back {
+		if next.Disabled != old.Disabled || next.EnabledAt != old.EnabledAt {
 			changed = append(changed, name)
 		}
 	}
@@ -60,12 +60,12 @@
 
 // later merges two overrides of one prep worker.
 func later(a, b Override) Override {
-	if b.At > a.At || b.At == a.At && b.Out {
+	if b.At > a.At || b.At == a.At && b.Disabled {
 		a, b = b, a // a is the later one; at the same time, the one that disables, which is the safe choice
 	}
-	a.Back, a.Since = max(a.Back, b.Back), max(a.Since, b.Since)
-	if !a.Out && b.Out {
-		a.Back = max(a.Back, a.At) // the process that enabled it had not learned that another had disabled it
+	a.EnabledAt, a.DisabledAt = max(a.EnabledAt, b.EnabledAt), max(a.DisabledAt, b.DisabledAt)
+	if !a.Disabled && b.Disabled {
+		a.EnabledAt = max(a.EnabledAt, a.At) // the process that enabled it had not learned that another had disabled it
 	}
 	return a
 }
@@ -79,11 +79,11 @@
 	if !ok || listing.State == balance.Gone {
 		return listing
 	}
-	if latest.Out && listing.State == balance.Ready {
+	if latest.Disabled && listing.State == balance.Ready {
 		listing.State = balance.Draining
 	}
-	if listing.Started <= latest.Since {
-		listing.Started = max(listing.Started, latest.Back)
+	if listing.Started <= latest.DisabledAt {
+		listing.Started = max(listing.Started, latest.EnabledAt)
 	}
 	return listing
 }
--- a/internal/node/override/override_test.go
+++ b/internal/node/override/override_test.go
@@ -70,8 +70,8 @@
 	a.Set("x", true, time.Hour)
 	b.Set("x", false, 2*time.Hour)
 	a.Merge(b)
-	b.Merge(Overrides{"x": {Out: true, At: time.Hour, Since: time.Hour}})
-	if a["x"] != b["x"] || a.Out("x") || a["x"].Back != 2*time.Hour {
+	b.Merge(Overrides{"x": {Disabled: true, At: time.Hour, DisabledAt: time.Hour}})
+	if a["x"] != b["x"] || a.Disabled("x") || a["x"].EnabledAt != 2*time.Hour {
 		t.Errorf("after the merge: got %+v and %+v, want both enabled at 2h", a["x"], b["x"])
 	}
 }
--- a/internal/node/protocol/admin.go
+++ b/internal/node/protocol/admin.go
@@ -191,7 +191,7 @@
 // Merge applies the overrides that another process of this node has stored.
 func (a *Admin) Merge(words override.Overrides) {
 	for _, name := range a.overrides.Merge(words) {
-		slog.Info("manual override applied", "prep_worker", name, "out", a.overrides.Out(name), "recorded", true)
+		slog.Info("manual override applied", "prep_worker", name, "out", a.overrides.Disabled(name), "recorded", true)
 		a.applyOverride(workerIDOf(name))
 	}
 }
@@ -233,7 +233,7 @@
 // or avoided by the balancer.
 func (a *Admin) countExcluded() (n int) {
 	a.core.EachWorker(func(id balance.WorkerID, _ balance.State, doubt float64) {
-		if doubt >= avoidedFailureProbability || a.overrides.Out(a.discovery.names[id]) {
+		if doubt >= avoidedFailureProbability || a.overrides.Disabled(a.discovery.names[id]) {
 			n++
 		}
 	})
--- a/internal/node/protocol/admin_test.go
+++ b/internal/node/protocol/admin_test.go
@@ -183,7 +183,7 @@
 			w.Play("wait 800ms\no expect HTTP/1.1 50\no closed")
 		}
 		w.Loop.Call(func() {
-			if !a.overrides.Out("s-1") {
+			if !a.overrides.Disabled("s-1") {
 				t.Error("it is enabled, though the caller got an error")
 			}
 		})
--- a/internal/node/protocol/connection_end_test.go
+++ b/internal/node/protocol/connection_end_test.go
@@ -50,7 +50,7 @@
 }
 
 func (w *fixture) waitForGone(n uint64) {
-	w.WaitUntil(func() bool { return w.core.Counts().Gone == n })
+	w.WaitUntil(func() bool { return w.core.Counts().Withdrawn == n })
 }
 
 // A client sends its request and disconnects before the busy loop has read a byte of it: no
@@ -337,7 +337,7 @@
 	w.checkTotals(t)
 }
 
-var _ routing.Waiter = (*Front)(nil)
+var _ routing.DisconnectChecker = (*Front)(nil)
 
 // A prep worker hangs in the middle of its response, or breaks the connection long after its start. A booking fails, at its
 // deadline or at once, and is not retried; an idempotent request is, and its client is served by the retry.
--- a/internal/node/protocol/fixture_test.go
+++ b/internal/node/protocol/fixture_test.go
@@ -80,7 +80,7 @@
 	t.Helper()
 	w.Loop.Call(func() {
 		c := w.core.Counts()
-		if c.Operations != c.Served+c.Refused+c.Failed+c.Rejected+c.Gone+c.Moved+uint64(w.core.OpenOperations()) {
+		if c.Operations != c.Served+c.Refused+c.Failed+c.Rejected+c.Withdrawn+c.HandedOver+uint64(w.core.OpenOperations()) {
 			t.Errorf("operations and final answers do not add up: %+v, %d open", c, w.core.OpenOperations())
 		}
 	})
--- a/internal/node/protocol/front.go
+++ b/internal/node/protocol/front.go
@@ -35,7 +35,7 @@
 }
 
 // Front serves the platform's clients. Each valid request becomes one operation of the core,
-// whose final answer becomes the response. It implements routing.Owner and routing.Waiter.
+// whose final answer becomes the response. It implements routing.Owner and routing.DisconnectChecker.
 type Front struct {
 	*Server
 	config       FrontConfig
@@ -249,9 +249,9 @@
 	return "Retry-After: " + strconv.FormatFloat(after.Seconds(), 'f', 3, 64) + "\r\n"
 }
 
-// ClientWaits implements routing.Waiter: it asks the operating system whether an operation's
+// ClientConnected implements routing.DisconnectChecker: it asks the operating system whether an operation's
 // client is still connected. The loop learns of a disconnect later, after all input before it.
-func (f *Front) ClientWaits(op slottable.Handle) bool {
+func (f *Front) ClientConnected(op slottable.Handle) bool {
 	call := f.calls[op]
 	if call == nil || !call.client.conn.PeerClosed() {
 		return true
--- a/internal/node/protocol/handover.go
+++ b/internal/node/protocol/handover.go
@@ -165,7 +165,7 @@
 	client := &clientConn{server: f.Server, conn: conns[0], hasRequested: handover.Asked, requestBegan: handover.Began, lastReplyAt: handover.Since}
 	client.handle = f.sockets.Add(client)
 	if f.listener != nil {
-		client.conn.OnClose(f.listener.Count())
+		client.conn.OnClose(f.listener.CountAdopted())
 	}
 	switch {
 	case handover.Call != nil:
--- a/internal/node/protocol/peers.go
+++ b/internal/node/protocol/peers.go
@@ -29,7 +29,7 @@
 // passes those received to the core. Datagrams of unknown senders are dropped.
 type Peers struct {
 	config    PeersConfig
-	packets   *eventloop.Packets
+	packets   *eventloop.DatagramSocket
 	addresses []*net.UDPAddr
 	broadcast *net.UDPAddr
 	ordinals  map[netip.AddrPort]int
@@ -72,7 +72,7 @@
 
 // open listens on the address.
 func (p *Peers) open(loop *eventloop.Loop, core *routing.Core) error {
-	out, err := loop.ListenPackets(p.config.Listen, func(from netip.AddrPort, data []byte) {
+	out, err := loop.ListenDatagrams(p.config.Listen, func(from netip.AddrPort, data []byte) {
 		if i, ok := p.ordinals[unmapped(from)]; ok && i != p.config.Ordinal {
 			core.PeerMessage(i, data)
 		}
--- a/internal/node/protocol/platform_test.go
+++ b/internal/node/protocol/platform_test.go
@@ -320,7 +320,7 @@
 	})
 	t.Run("by hand", func(t *testing.T) {
 		drainWhileConnecting(t, func(w *fixture, up balance.ListUpdate) {
-			w.discovery.config.Overrides = override.Overrides{"s-1": {Out: true}, "s-2": {Out: true}}
+			w.discovery.config.Overrides = override.Overrides{"s-1": {Disabled: true}, "s-2": {Disabled: true}}
 			for _, l := range up.Workers {
 				w.discovery.Republish(l.Worker)
 			}
--- a/internal/node/protocol/server_call.go
+++ b/internal/node/protocol/server_call.go
@@ -30,7 +30,7 @@
 	client.call = nil
 	client.server.bufferedBytes -= c.bodySize
 	client.reply(status, extra, body, c.closeAfter || client.server.stopping)
-	client.conn.Pump()
+	client.conn.ProcessBuffered()
 }
 
 // BeginStream starts an answer in chunks, which Write sends until EndStream. It returns false
@@ -86,7 +86,7 @@
 		client.closeAfterLastReply()
 		return
 	}
-	client.conn.Pump()
+	client.conn.ProcessBuffered()
 }
 
 // Reject answers an invalid call, counts it and closes the connection.
--- a/internal/node/routing/handover.go
+++ b/internal/node/routing/handover.go
@@ -64,7 +64,7 @@
 		c.steps.Remove(stepHandle)
 		operation.inFlight--
 	}
-	c.counts.Moved++
+	c.counts.HandedOver++
 	c.markConcluded(operation)
 	c.operations.Remove(handle)
 	c.dispatch(balance.RequestEnded{Request: balance.RequestID(handle)})
--- a/internal/node/routing/steps.go
+++ b/internal/node/routing/steps.go
@@ -59,8 +59,8 @@
 	if operation == nil || operation.concluded {
 		return false
 	}
-	waiter, ok := operation.Owner.(Waiter)
-	return !ok || waiter.ClientWaits(handle)
+	waiter, ok := operation.Owner.(DisconnectChecker)
+	return !ok || waiter.ClientConnected(handle)
 }
 
 // StepStarted handles the event that the destination has begun to run a step.
