--- a/internal/node/eventloop/conn.go
+++ b/internal/node/eventloop/conn.go
@@ -33,19 +33,19 @@
 // Conn is a connection on the loop. Its buffer has the received bytes that the handler has not
 // consumed yet; it grows as needed and is compacted in place.
 type Conn struct {
-	loop      *Loop
-	raw       gnet.Conn
-	handle    slottable.Handle
-	handler   Handler
-	onOpen    func()
-	onClose   func()
-	onEnded   func() // called when a lingering connection is closed
-	buffer    []byte
-	consumed  int  // bytes of buffer that the handler has consumed
-	processing   bool // a call of the handler's Data is in progress
-	closed    bool
-	unsent    bool // closed before the operating system had taken all bytes
-	lingering bool
+	loop       *Loop
+	raw        gnet.Conn
+	handle     slottable.Handle
+	handler    Handler
+	onOpen     func()
+	onClose    func()
+	onEnded    func() // called when a lingering connection is closed
+	buffer     []byte
+	consumed   int  // bytes of buffer that the handler has consumed
+	processing bool // a call of the handler's Data is in progress
+	closed     bool
+	unsent     bool // closed before the operating system had taken all bytes
+	lingering  bool
 }
 
 // run runs a callback of the connection. If the callback calls Close, gnet closes the connection
@@ -74,7 +74,7 @@
 	c.ProcessBuffered()
 }
 
-// Pump passes the bytes in the buffer to the handler again, for example when it has become ready
+// ProcessBuffered passes the bytes in the buffer to the handler again, for example when it has become ready
 // for the next pipelined message.
 func (c *Conn) ProcessBuffered() {
 	if c.processing || c.closed || c.lingering || c.consumed == len(c.buffer) {
--- a/internal/node/eventloop/handover.go
+++ b/internal/node/eventloop/handover.go
@@ -80,7 +80,7 @@
 	return err
 }
 
-// Count adds an adopted connection to the number of the listener's open connections until release
+// CountAdopted adds an adopted connection to the number of the listener's open connections until release
 // is called. It needs no slot: the connection does not count towards the listener's maximum, as
 // the node already had it.
 func (ln *Listener) CountAdopted() (release func()) {
--- a/internal/node/eventloop/loop.go
+++ b/internal/node/eventloop/loop.go
@@ -205,10 +205,10 @@
 	}
 }
 
-// Packets is a UDP socket.
+// DatagramSocket is a UDP socket.
 type DatagramSocket struct{ conn *net.UDPConn }
 
-// ListenPackets receives datagrams on an address until the socket is closed, and calls handle on
+// ListenDatagrams receives datagrams on an address until the socket is closed, and calls handle on
 // the loop with each. It may be called outside the loop.
 func (l *Loop) ListenDatagrams(address string, handle func(from netip.AddrPort, data []byte)) (*DatagramSocket, error) {
 	local, err := net.ResolveUDPAddr("udp", address)
--- a/internal/node/hotrestart/handover.go
+++ b/internal/node/hotrestart/handover.go
@@ -21,7 +21,7 @@
 
 // Message is a message to the next process, with the sockets that are passed with it.
 type Message struct {
-	Payload    []byte
+	Payload []byte
 	Sockets []*os.File
 }
 
--- a/internal/node/override/override.go
+++ b/internal/node/override/override.go
@@ -1,4 +1,4 @@
-// Package override has the operators' manual overrides, which disable ("out") and enable prep
+// Package override has the operators' manual overrides, which disable ("out" in JSON) and enable prep
 // workers. They are applied to the endpoint list: the core and the balancer see a disabled prep
 // worker as draining, and one enabled again as just started.
 //
@@ -14,8 +14,8 @@
 
 // Override is the latest override of a prep worker. Times are on the event loop's clock.
 type Override struct {
-	Disabled   bool          `json:"out"`             // disabled
-	At    time.Duration `json:"at"`              // when the latest call was made
+	Disabled   bool          `json:"out"`
+	At         time.Duration `json:"at"`              // when the latest call was made
 	DisabledAt time.Duration `json:"since,omitempty"` // when it was last disabled; 0: never
 	EnabledAt  time.Duration `json:"back,omitempty"`  // when it was last enabled again; 0: never
 }
@@ -23,7 +23,7 @@
 // Overrides has the latest override of each prep worker, by name.
 type Overrides map[string]Override
 
-// Out reports whether a prep worker is disabled.
+// Disabled reports whether a prep worker is disabled.
 func (o Overrides) Disabled(name string) bool { return o[name].Disabled }
 
 // Set disables or enables a prep worker. One call that enables undoes any number of calls
--- a/internal/node/protocol/front.go
+++ b/internal/node/protocol/front.go
@@ -35,7 +35,7 @@
 }
 
 // Front serves the platform's clients. Each valid request becomes one operation of the core,
-// whose final answer is sent as the response. It implements routing.Owner and routing.Waiter.
+// whose final answer is sent as the response. It implements routing.Owner and routing.DisconnectChecker.
 type Front struct {
 	*Server
 	config       FrontConfig
@@ -249,7 +249,7 @@
 	return "Retry-After: " + strconv.FormatFloat(after.Seconds(), 'f', 3, 64) + "\r\n"
 }
 
-// ClientWaits implements routing.Waiter: it asks the operating system whether an operation's
+// ClientConnected implements routing.DisconnectChecker: it asks the operating system whether an operation's
 // client is still connected. The loop sees a disconnect only after it has read all earlier input.
 func (f *Front) ClientConnected(op slottable.Handle) bool {
 	call := f.calls[op]
--- a/internal/node/routing/core.go
+++ b/internal/node/routing/core.go
@@ -69,11 +69,11 @@
 
 // Counts are totals since the start of the process.
 type Counts struct {
-	// Operations counts accepted operations, Served to Rejected final answers, Gone operations whose
-	// client disconnected, Moved those handed over to another process, and Steps the route steps sent.
+	// Operations counts accepted operations, Served to Rejected final answers, Withdrawn operations whose
+	// client disconnected, HandedOver those passed on to another process, and Steps the route steps sent.
 	Operations, Served, Refused, Failed, Rejected, Withdrawn, HandedOver, Steps uint64
-	Outcomes                                                          [balance.NotSent + 1]uint64 // of route steps
-	Classes                                                           []ClassCounts               // by number
+	Outcomes                                                                    [balance.NotSent + 1]uint64 // of route steps
+	Classes                                                                     []ClassCounts               // by number
 }
 
 // ClassCounts are the final answers to the operations of one class. Rejected operations are
--- a/internal/node/routing/ports.go
+++ b/internal/node/routing/ports.go
@@ -109,9 +109,9 @@
 	BeforeSend(operation slottable.Handle, open func(ok bool))
 }
 
-// Waiter is an Owner that can check whether an operation's client is still connected before the
-// event loop reports a disconnect. The core calls ClientWaits before the first byte of each
-// attempt. If the client has disconnected, ClientWaits withdraws the operation and returns false.
+// DisconnectChecker is an Owner that can check whether an operation's client is still connected before the
+// event loop reports a disconnect. The core calls ClientConnected before the first byte of each
+// attempt. If the client has disconnected, ClientConnected withdraws the operation and returns false.
 type DisconnectChecker interface {
 	ClientConnected(operation slottable.Handle) bool
 }
