--- a/internal/node/batch/store/bench_test.go
+++ b/internal/node/batch/store/bench_test.go
@@ -15,19 +15,21 @@
 	"ospreybend/internal/node/timerqueue"
 )
 
-// idleCore is a core without operations.
-type idleCore struct{}
+// unusedCore is a jobs.Core and a clock for a manager that dispatches no jobs.
+type unusedCore struct{}
 
-func (idleCore) Accept(routing.Operation) slottable.Handle                 { return 0 }
-func (idleCore) Route(slottable.Handle)                                    {}
-func (idleCore) Withdraw(slottable.Handle)                                 {}
-func (idleCore) MayHaveRun(slottable.Handle) bool                          { return false }
-func (idleCore) AnyReady() bool                                            { return false }
-func (idleCore) EachWorker(func(balance.WorkerID, balance.State, float64)) {}
-func (idleCore) Now() time.Duration                                        { return time.Duration(time.Now().UnixMicro()) * time.Microsecond }
+func (unusedCore) Accept(routing.Operation) slottable.Handle                 { return 0 }
+func (unusedCore) Route(slottable.Handle)                                    {}
+func (unusedCore) Withdraw(slottable.Handle)                                 {}
+func (unusedCore) MayHaveRun(slottable.Handle) bool                          { return false }
+func (unusedCore) AnyReady() bool                                            { return false }
+func (unusedCore) EachWorker(func(balance.WorkerID, balance.State, float64)) {}
+func (unusedCore) Now() time.Duration {
+	return time.Duration(time.Now().UnixMicro()) * time.Microsecond
+}
 
-// BenchmarkSubmit submits jobs to a manager on SQLite as many clients would, without HTTP, and
-// compares the rate with that of bare commits in the same run.
+// BenchmarkSubmit submits jobs from many concurrent clients to a manager with a SQLite store, without
+// HTTP, and reports the rate relative to that of bare commits in the same run.
 func BenchmarkSubmit(b *testing.B) {
 	dir := b.TempDir()
 	s, err := Open(b.Context(), "sqlite", filepath.Join(dir, "x.db"))
@@ -37,7 +39,7 @@
 	results := make(chan func(), 4096)
 	executor := NewExecutor(s, func(f func()) { results <- f })
 	m := jobs.New(jobs.Config{Classes: map[string]int{"c": 0}, Settings: balance.Settings{Classes: []balance.Class{{Timeout: time.Second}}},
-		MaxSlots: 1, DelayTarget: jobs.DefaultDelayTarget, MaxWait: time.Hour, MaxEvents: 1024, MaxEndedJobs: 10}, idleCore{}, executor, idleCore{}, &timerqueue.Queue{})
+		MaxSlots: 1, DelayTarget: jobs.DefaultDelayTarget, MaxWait: time.Hour, MaxEvents: 1024, MaxEndedJobs: 10}, unusedCore{}, executor, unusedCore{}, &timerqueue.Queue{})
 	m.Load([]jobs.Tenant{{Name: "anna", TokenHash: "h", Quota: 1 << 30}}, []jobs.SessionRecord{{Tenant: "anna", Name: "s", State: jobs.SessionOpen}}, nil, nil)
 	t := &drmaa.JobTemplate{RemoteCommand: "c", SubmitAsHold: true, Input: strings.Repeat("x", 300)}
 	const clients = 64
@@ -67,11 +69,11 @@
 		b.Fatal(err)
 	}
 	b.ReportMetric(rate, "jobs/s")
-	b.ReportMetric(rate/bareCommits(b, dir), "jobs/bare-commit")
+	b.ReportMetric(rate/bareCommitRate(b, dir), "jobs/bare-commit")
 }
 
-// bareCommits returns how many single inserts SQLite commits a second here.
-func bareCommits(b *testing.B, dir string) float64 {
+// bareCommitRate returns how many single-row inserts SQLite commits per second on this machine.
+func bareCommitRate(b *testing.B, dir string) float64 {
 	db, err := sql.Open("sqlite", "file:"+filepath.Join(dir, "bare.db")+"?_pragma=journal_mode(WAL)&_pragma=synchronous(FULL)")
 	if err != nil {
 		b.Fatal(err)
--- a/internal/node/batch/store/compatibility_test.go
+++ b/internal/node/batch/store/compatibility_test.go
@@ -13,15 +13,15 @@
 	"ospreybend/internal/testkit/golden"
 )
 
-// compatibilityFile is the fixture: a database file of SQLite.
+// compatibilityFile is the fixture, a SQLite database file.
 const compatibilityFile = "batch.sqlite"
 
-// compatibilityTenant owns all that the fixture has.
+// compatibilityTenant is the only tenant in the fixture.
 func compatibilityTenant() jobs.Tenant {
 	return jobs.Tenant{Name: "anna", TokenHash: "digest of a token", Quota: 500}
 }
 
-// compatibilityJob is a job with all fields of a submission.
+// compatibilityJob returns a job with all fields of a submission set.
 func compatibilityJob(id string, sequence int64) *jobs.Record {
 	rerunnable := true
 	return &jobs.Record{
@@ -35,7 +35,7 @@
 	}
 }
 
-// compatibilityEnd is the end of the job that has ended.
+// compatibilityEnd returns the final record of the ended job.
 func compatibilityEnd(id string) *jobs.Record {
 	return &jobs.Record{
 		ID: id, State: drmaa.Failed, Reason: "timeout", Result: []byte("output\x00"), ExitStatus: -1, MayHaveRun: true,
@@ -44,7 +44,7 @@
 	}
 }
 
-// compatibilityArray is an array of two jobs.
+// compatibilityArray returns an array of two jobs.
 func compatibilityArray() *jobs.ArrayRecord {
 	return &jobs.ArrayRecord{
 		ID: "array-1", Tenant: "anna", Session: "s", ClientKey: "key-array", Digest: "digest-array",
@@ -68,40 +68,41 @@
 	return opened
 }
 
-// same compares what was read with what is wanted.
-func same(t *testing.T, what string, read any, err error, want any) {
+// checkRead checks the result of a read from the store.
+func checkRead(t *testing.T, what string, read any, err error, want any) {
 	t.Helper()
 	if err != nil || !reflect.DeepEqual(read, want) {
-		t.Errorf("%s: read %+v, %v, want %+v", what, read, err, want)
+		t.Errorf("read %s: got %+v, error %v, want %+v", what, read, err, want)
 	}
 }
 
-// The pages of the file are the database library's: what the store reads is compared.
+// The test compares what the store reads from the fixture rather than the file's bytes, which the
+// database library determines.
 func TestOpen_readsVersion8782861(t *testing.T) {
 	opened, ctx := openCopy(t), context.Background()
 	tenants, err := opened.Tenants(ctx)
-	same(t, "tenants", tenants, err, []jobs.Tenant{compatibilityTenant()})
+	checkRead(t, "tenants", tenants, err, []jobs.Tenant{compatibilityTenant()})
 	sessions, err := opened.Sessions(ctx)
-	same(t, "sessions", sessions, err, []jobs.SessionRecord{{Tenant: "anna", Name: "s", State: jobs.SessionOpen}})
+	checkRead(t, "sessions", sessions, err, []jobs.SessionRecord{{Tenant: "anna", Name: "s", State: jobs.SessionOpen}})
 
 	waiting := compatibilityJob("job-1", 1)
 	waiting.Held, waiting.State = true, drmaa.QueuedHeld
 	read, err := opened.Job(ctx, "anna", "job-1")
-	same(t, "the job that waits", read, err, waiting)
+	checkRead(t, "the waiting job", read, err, waiting)
 
 	ended, end := compatibilityJob("job-2", 2), compatibilityEnd("job-2")
 	ended.Sent, ended.State, ended.Reason, ended.Result, ended.MayHaveRun = true, end.State, end.Reason, end.Result, end.MayHaveRun
 	ended.DispatchedAt, ended.StartedAt, ended.EndedAt, ended.Steps = end.DispatchedAt, end.StartedAt, end.EndedAt, end.Steps
 	ended.Settled = jobs.Settlement{At: 1_790_000_009_000_000, Ran: true, Reason: "seen in its output"}
 	read, err = opened.Job(ctx, "anna", "job-2")
-	same(t, "the job that has ended", read, err, ended)
+	checkRead(t, "the ended job", read, err, ended)
 
 	array := compatibilityArray()
 	array.States = map[drmaa.State]int{drmaa.Queued: 2}
 	readArray, err := opened.Array(ctx, "anna", array.ID)
-	same(t, "the array", readArray, err, array)
+	checkRead(t, "the array", readArray, err, array)
 	unfinished, arrays, err := opened.Unfinished(ctx)
 	if err != nil || len(unfinished) != 3 || len(arrays) != 1 {
-		t.Errorf("%d unfinished, %d arrays, %v", len(unfinished), len(arrays), err)
+		t.Errorf("Unfinished: got %d jobs, %d arrays, error %v, want 3 jobs, 1 array", len(unfinished), len(arrays), err)
 	}
 }
--- a/internal/node/batch/store/executor.go
+++ b/internal/node/batch/store/executor.go
@@ -9,54 +9,54 @@
 )
 
 const (
-	maxQueuedCalls = 1024 // calls queued for the store at most
+	maxQueuedCalls = 1024 // maximum queued calls
 	callTimeout    = 10 * time.Second
 )
 
-// task is one call of the store. then is called on the loop with its error.
-type task struct {
+// storeCall is one queued call of the store. then is called on the loop with the error of do.
+type storeCall struct {
 	do   func(context.Context, jobs.Store) error
 	then func(error)
 }
 
-// Executor runs calls of the store in a goroutine of its own, one after the other. It implements
+// Executor runs calls of the store in its own goroutine, one at a time. It implements
 // jobs.StoreExecutor. Shutdown and Wait end the goroutine.
 type Executor struct {
 	store    jobs.Store
 	post     func(func())
-	tasks    chan task
+	calls    chan storeCall
 	done     chan struct{}
-	shutDown bool // no further calls; owned by the loop
+	shutDown bool // accept no further calls; belongs to the loop
 }
 
-// NewExecutor starts an executor. post runs a function on the loop.
+// NewExecutor starts an executor. post schedules a function on the loop.
 func NewExecutor(store jobs.Store, post func(func())) *Executor {
-	k := &Executor{store: store, post: post, tasks: make(chan task, maxQueuedCalls), done: make(chan struct{})}
-	go k.run()
-	return k
+	e := &Executor{store: store, post: post, calls: make(chan storeCall, maxQueuedCalls), done: make(chan struct{})}
+	go e.run()
+	return e
 }
 
 // run runs the queued calls until Shutdown.
-func (k *Executor) run() {
-	defer close(k.done)
-	for t := range k.tasks {
+func (e *Executor) run() {
+	defer close(e.done)
+	for call := range e.calls {
 		ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
-		err := t.do(ctx, k.store)
+		err := call.do(ctx, e.store)
 		cancel()
 		if err != nil {
 			slog.Error("store of record", "error", err)
 		}
-		k.post(func() { t.then(err) })
+		e.post(func() { call.then(err) })
 	}
 }
 
 // Call implements jobs.StoreExecutor. It must be called on the loop.
-func (k *Executor) Call(do func(context.Context, jobs.Store) error, then func(error)) bool {
-	if k.shutDown {
+func (e *Executor) Call(do func(context.Context, jobs.Store) error, then func(error)) bool {
+	if e.shutDown {
 		return false
 	}
 	select {
-	case k.tasks <- task{do, then}:
+	case e.calls <- storeCall{do, then}:
 		return true
 	default:
 		return false
@@ -64,16 +64,16 @@
 }
 
 // Shutdown rejects further calls. It must be called on the loop.
-func (k *Executor) Shutdown() {
-	if !k.shutDown {
-		k.shutDown = true
-		close(k.tasks)
+func (e *Executor) Shutdown() {
+	if !e.shutDown {
+		e.shutDown = true
+		close(e.calls)
 	}
 }
 
-// Wait waits for the queued calls after Shutdown, and closes the store. It must be called off the
-// loop.
-func (k *Executor) Wait() error {
-	<-k.done
-	return k.store.Close()
+// Wait waits for the queued calls to finish and closes the store. It must be called after Shutdown
+// and off the loop.
+func (e *Executor) Wait() error {
+	<-e.done
+	return e.store.Close()
 }
--- a/internal/node/batch/store/job_rows.go
+++ b/internal/node/batch/store/job_rows.go
@@ -18,12 +18,12 @@
 const arrayColumns = `id, tenant, session, COALESCE(client_key, ''), digest, template, begin_index, end_index, step,
 	max_parallel, submitted_at`
 
-// queryer is a database or a transaction.
+// queryer is a database or a transaction: *sql.DB or *sql.Tx.
 type queryer interface {
 	QueryContext(ctx context.Context, query string, args ...any) (*sql.Rows, error)
 }
 
-// queryOne returns the first job of a query, or nil.
+// queryOne returns the first job of a query's result, or nil.
 func (s *Store) queryOne(ctx context.Context, database queryer, query string, args ...any) (*jobs.Record, error) {
 	all, err := s.queryJobs(ctx, database, query, args...)
 	if err != nil || len(all) == 0 {
@@ -32,13 +32,13 @@
 	return all[0], nil
 }
 
-// queryJobs returns the jobs of a query, with their templates.
+// queryJobs returns the jobs of a query's result, with their templates.
 func (s *Store) queryJobs(ctx context.Context, database queryer, query string, args ...any) ([]*jobs.Record, error) {
 	out, err := s.scanJobs(ctx, database, query, args...)
 	if err != nil {
 		return nil, err
 	}
-	// An array's jobs have its template, one for all of them.
+	// The jobs of an array share the array's template.
 	templates := map[string]*drmaa.JobTemplate{}
 	for _, r := range out {
 		if r.Array == "" {
@@ -50,7 +50,7 @@
 				return nil, err
 			}
 			if a == nil {
-				return nil, fmt.Errorf("job %s: its array is not there", r.ID)
+				return nil, fmt.Errorf("job %s: its array %s is not in the store", r.ID, r.Array)
 			}
 			templates[r.Array] = a.Template
 		}
@@ -59,7 +59,7 @@
 	return out, nil
 }
 
-// scanJobs reads the rows of a query; jobs of arrays have no template.
+// scanJobs reads the rows of a query. It leaves the templates of array jobs nil.
 func (s *Store) scanJobs(ctx context.Context, database queryer, query string, args ...any) (out []*jobs.Record, err error) {
 	rows, err := database.QueryContext(ctx, s.rebind(query), args...)
 	if err != nil {
@@ -102,7 +102,7 @@
 	return out, rows.Err()
 }
 
-// queryArray returns an array with the counts of its jobs by state, or nil.
+// queryArray returns the first array that matches where, with the counts of its jobs by state, or nil.
 func (s *Store) queryArray(ctx context.Context, database queryer, where string, args ...any) (*jobs.ArrayRecord, error) {
 	a, err := s.scanArray(ctx, database, where, args...)
 	if err != nil || a == nil {
@@ -129,7 +129,7 @@
 	return a, rows.Err()
 }
 
-// scanArray returns an array without counts, or nil.
+// scanArray returns the first array that matches where, without counts, or nil.
 func (s *Store) scanArray(ctx context.Context, database queryer, where string, args ...any) (*jobs.ArrayRecord, error) {
 	rows, err := database.QueryContext(ctx, s.rebind(`SELECT `+arrayColumns+` FROM arrays WHERE `+where), args...)
 	if err != nil {
--- a/internal/node/batch/store/jobs.go
+++ b/internal/node/batch/store/jobs.go
@@ -12,7 +12,7 @@
 	"ospreybend/internal/node/faultinjection"
 )
 
-// boolToInt returns a truth value as the tables have it.
+// boolToInt returns a boolean as the tables store it.
 func boolToInt(b bool) int {
 	if b {
 		return 1
@@ -20,7 +20,7 @@
 	return 0
 }
 
-// nullable returns NULL for a missing client key: the column is unique.
+// nullable returns NULL for a missing client key, since the column is unique.
 func nullable(key string) any {
 	if key == "" {
 		return nil
@@ -28,26 +28,26 @@
 	return key
 }
 
-// The prepared statements.
+// Statements that Open prepares.
 const (
-	insertJob = `INSERT INTO jobs (id, tenant, session, client_key, digest, template,
+	insertJobSQL = `INSERT INTO jobs (id, tenant, session, client_key, digest, template,
 		submitted_at, deadline_at, sent, state, reason, result, may_have_run, ended_at, array_id, array_index, seq, held,
 		category, job_name, accounting_id)
 		VALUES (?, ?, ?, ?, ?, ?, ?, ?, 0, ?, '', '', 0, 0, ?, ?, ?, ?, ?, ?, ?)`
-	keyExists = `SELECT EXISTS (SELECT 1 FROM jobs WHERE tenant = ? AND client_key = ?)
+	keyExistsSQL = `SELECT EXISTS (SELECT 1 FROM jobs WHERE tenant = ? AND client_key = ?)
 		OR EXISTS (SELECT 1 FROM arrays WHERE tenant = ? AND client_key = ?)`
-	updateJob = `UPDATE jobs SET sent = ?, held = ? WHERE id = ? AND ended_at = 0`
-	finishJob = `UPDATE jobs SET state = ?, reason = ?, result = ?, may_have_run = ?, ended_at = ?,
+	updateJobSQL = `UPDATE jobs SET sent = ?, held = ? WHERE id = ? AND ended_at = 0`
+	finishJobSQL = `UPDATE jobs SET state = ?, reason = ?, result = ?, may_have_run = ?, ended_at = ?,
 		exit_status = ?, dispatched_at = ?, started_at = ?, steps = ? WHERE id = ? AND ended_at = 0`
 )
 
-// Insert implements jobs.Store: it records submissions, each completely or not at all. One whose
-// client key is taken is not recorded, and what has the key is returned in its place.
-func (s *Store) Insert(ctx context.Context, subs []*jobs.Submission) ([]jobs.ExistingSubmission, error) {
-	out := make([]jobs.ExistingSubmission, len(subs))
+// Insert implements jobs.Store: it stores submissions, each completely or not at all. A submission
+// whose client key is in use is not stored, and the existing job or array is returned for it.
+func (s *Store) Insert(ctx context.Context, submissions []*jobs.Submission) ([]jobs.ExistingSubmission, error) {
+	out := make([]jobs.ExistingSubmission, len(submissions))
 	err := s.inTransactionBetween(ctx, faultinjection.InsertBefore, faultinjection.InsertAfter, func(tx *sql.Tx) error {
-		job := tx.StmtContext(ctx, s.insertJob)
-		for i, sub := range subs {
+		insertJob := tx.StmtContext(ctx, s.insertJob)
+		for i, sub := range submissions {
 			var err error
 			if out[i], err = s.findExisting(ctx, tx, sub); err != nil {
 				return err
@@ -55,7 +55,7 @@
 			if out[i] != (jobs.ExistingSubmission{}) {
 				continue
 			}
-			if err := s.insert(ctx, tx, job, sub); err != nil {
+			if err := s.insert(ctx, tx, insertJob, sub); err != nil {
 				return err
 			}
 		}
@@ -64,7 +64,7 @@
 	return out, err
 }
 
-// findExisting returns the job or array that has a submission's client key.
+// findExisting returns the job or array that uses a submission's client key, if there is one.
 func (s *Store) findExisting(ctx context.Context, tx *sql.Tx, sub *jobs.Submission) (out jobs.ExistingSubmission, err error) {
 	tenant, key := sub.Jobs[0].Tenant, sub.Jobs[0].ClientKey
 	if sub.Array != nil {
@@ -73,8 +73,8 @@
 	if key == "" {
 		return out, nil
 	}
-	var there bool
-	if err := tx.StmtContext(ctx, s.keyExists).QueryRowContext(ctx, tenant, key, tenant, key).Scan(&there); err != nil || !there {
+	var exists bool
+	if err := tx.StmtContext(ctx, s.keyExists).QueryRowContext(ctx, tenant, key, tenant, key).Scan(&exists); err != nil || !exists {
 		return out, err
 	}
 	if out.Job, err = s.queryOne(ctx, tx, `SELECT `+jobColumns+` FROM jobs j WHERE j.tenant = ? AND j.client_key = ?`, tenant, key); err != nil {
@@ -86,8 +86,8 @@
 	return out, err
 }
 
-// insert records one submission.
-func (s *Store) insert(ctx context.Context, tx *sql.Tx, job *sql.Stmt, submission *jobs.Submission) error {
+// insert stores one submission. insertJob is the prepared insertJobSQL.
+func (s *Store) insert(ctx context.Context, tx *sql.Tx, insertJob *sql.Stmt, submission *jobs.Submission) error {
 	text := ""
 	if a := submission.Array; a != nil {
 		template, err := json.Marshal(a.Template)
@@ -109,7 +109,7 @@
 			text = string(template)
 		}
 		t := r.Template
-		if _, err := job.ExecContext(ctx, r.ID, r.Tenant, r.Session, nullable(r.ClientKey), r.Digest, text, r.SubmittedAt, r.DeadlineAt,
+		if _, err := insertJob.ExecContext(ctx, r.ID, r.Tenant, r.Session, nullable(r.ClientKey), r.Digest, text, r.SubmittedAt, r.DeadlineAt,
 			string(drmaa.Queued), r.Array, r.Index, r.Seq, boolToInt(r.Held), t.RemoteCommand, t.JobName, t.AccountingID); err != nil {
 			return err
 		}
@@ -120,9 +120,9 @@
 // Update implements jobs.Store: it changes the records of unfinished jobs.
 func (s *Store) Update(ctx context.Context, updates []jobs.RecordUpdate) error {
 	return s.inTransactionBetween(ctx, faultinjection.MarkBefore, faultinjection.MarkAfter, func(tx *sql.Tx) error {
-		row := tx.StmtContext(ctx, s.updateJob)
+		statement := tx.StmtContext(ctx, s.updateJob)
 		for _, update := range updates {
-			if _, err := row.ExecContext(ctx, boolToInt(update.Sent), boolToInt(update.Held), update.ID); err != nil {
+			if _, err := statement.ExecContext(ctx, boolToInt(update.Sent), boolToInt(update.Held), update.ID); err != nil {
 				return err
 			}
 		}
@@ -130,12 +130,12 @@
 	})
 }
 
-// Finish implements jobs.Store: it records final states. A job's first one is not overwritten.
+// Finish implements jobs.Store: it stores final states. The first one of a job is never overwritten.
 func (s *Store) Finish(ctx context.Context, records []*jobs.Record) error {
 	return s.inTransactionBetween(ctx, faultinjection.FinishBefore, faultinjection.FinishAfter, func(tx *sql.Tx) error {
-		row := tx.StmtContext(ctx, s.finishJob)
+		statement := tx.StmtContext(ctx, s.finishJob)
 		for _, r := range records {
-			// As JSON, since text in PostgreSQL cannot have a NUL.
+			// Stored as JSON, since text in PostgreSQL cannot contain NUL.
 			result, err := json.Marshal(string(r.Result))
 			if err != nil {
 				return err
@@ -144,7 +144,7 @@
 			if err != nil {
 				return err
 			}
-			if _, err := row.ExecContext(ctx, string(r.State), r.Reason, string(result), boolToInt(r.MayHaveRun), r.EndedAt, r.ExitStatus,
+			if _, err := statement.ExecContext(ctx, string(r.State), r.Reason, string(result), boolToInt(r.MayHaveRun), r.EndedAt, r.ExitStatus,
 				r.DispatchedAt, r.StartedAt, string(steps), r.ID); err != nil {
 				return err
 			}
@@ -153,27 +153,27 @@
 	})
 }
 
-// Reap implements jobs.Store: it hides ended jobs from their owner.
-func (s *Store) Reap(ctx context.Context, what jobs.ReapSelector) (n int, err error) {
+// Reap implements jobs.Store: it hides ended jobs from their tenant.
+func (s *Store) Reap(ctx context.Context, selector jobs.ReapSelector) (n int, err error) {
 	err = s.inTransaction(ctx, func(tx *sql.Tx) error {
 		const reap = `UPDATE jobs SET reaped = 1 WHERE tenant = ? AND session = ? AND ended_at > 0 AND reaped = 0`
 		count := func(statement string, args ...any) error {
-			done, err := tx.ExecContext(ctx, s.rebind(statement), args...)
+			result, err := tx.ExecContext(ctx, s.rebind(statement), args...)
 			if err != nil {
 				return err
 			}
-			rows, err := done.RowsAffected()
+			rows, err := result.RowsAffected()
 			n += int(rows)
 			return err
 		}
-		if what.Array != "" {
-			if _, err := tx.ExecContext(ctx, s.rebind(`UPDATE arrays SET reaped = 1 WHERE tenant = ? AND id = ?`), what.Tenant, what.Array); err != nil {
+		if selector.Array != "" {
+			if _, err := tx.ExecContext(ctx, s.rebind(`UPDATE arrays SET reaped = 1 WHERE tenant = ? AND id = ?`), selector.Tenant, selector.Array); err != nil {
 				return err
 			}
-			return count(reap+` AND array_id = ?`, what.Tenant, what.Session, what.Array)
+			return count(reap+` AND array_id = ?`, selector.Tenant, selector.Session, selector.Array)
 		}
-		for _, id := range what.IDs {
-			if err := count(reap+` AND id = ?`, what.Tenant, what.Session, id); err != nil {
+		for _, id := range selector.IDs {
+			if err := count(reap+` AND id = ?`, selector.Tenant, selector.Session, id); err != nil {
 				return err
 			}
 		}
@@ -182,17 +182,17 @@
 	return n, err
 }
 
-// Job returns a job that is not reaped, or nil.
+// Job implements jobs.Store: it returns a job that is not reaped, or nil.
 func (s *Store) Job(ctx context.Context, tenant, id string) (*jobs.Record, error) {
 	return s.queryOne(ctx, s.db, `SELECT `+jobColumns+` FROM jobs j WHERE j.tenant = ? AND j.id = ? AND j.reaped = 0`, tenant, id)
 }
 
-// Array returns an array that is not reaped, or nil.
+// Array implements jobs.Store: it returns an array that is not reaped, or nil.
 func (s *Store) Array(ctx context.Context, tenant, id string) (*jobs.ArrayRecord, error) {
 	return s.queryArray(ctx, s.db, `tenant = ? AND id = ? AND reaped = 0`, tenant, id)
 }
 
-// Jobs lists jobs that are not reaped, newest first.
+// Jobs implements jobs.Store: it lists the matching jobs that are not reaped, newest first.
 func (s *Store) Jobs(ctx context.Context, tenant, session string, filter drmaa.Filter, limit int) ([]*jobs.Record, error) {
 	where, args := []string{"j.reaped = 0"}, []any{}
 	add := func(given bool, condition string, values ...any) {
@@ -219,7 +219,7 @@
 	return s.queryJobs(ctx, s.db, `SELECT `+jobColumns+` FROM jobs j WHERE `+strings.Join(where, " AND ")+` ORDER BY j.seq DESC, j.id LIMIT ?`, args...)
 }
 
-// firstState returns the filter's first state, or "".
+// firstState returns the filter's first state, or "" if it has none.
 func firstState(f drmaa.Filter) string {
 	if len(f.States) == 0 {
 		return ""
@@ -227,8 +227,8 @@
 	return string(f.States[0])
 }
 
-// AnyEnded implements jobs.Store: it returns the job of a session, or of one of its arrays, that
-// has ended last, or nil.
+// AnyEnded implements jobs.Store: it returns the most recently ended job of a session, or of one of
+// its arrays if array is set, or nil.
 func (s *Store) AnyEnded(ctx context.Context, tenant, session, array string) (*jobs.Record, error) {
 	where, args := `j.tenant = ? AND j.session = ? AND j.ended_at > 0 AND j.reaped = 0`, []any{tenant, session}
 	if array != "" {
@@ -237,8 +237,8 @@
 	return s.queryOne(ctx, s.db, `SELECT `+jobColumns+` FROM jobs j WHERE `+where+` ORDER BY j.ended_at DESC LIMIT 1`, args...)
 }
 
-// Unfinished implements jobs.Store: it returns the jobs that have not ended, in the order of their
-// submission, and their arrays.
+// Unfinished implements jobs.Store: it returns the jobs that have not ended, in submission order, and
+// their arrays.
 func (s *Store) Unfinished(ctx context.Context) ([]*jobs.Record, []*jobs.ArrayRecord, error) {
 	records, err := s.queryJobs(ctx, s.db, `SELECT `+jobColumns+` FROM jobs j WHERE j.ended_at = 0 ORDER BY j.seq, j.id`)
 	if err != nil {
@@ -256,13 +256,14 @@
 			return nil, nil, err
 		}
 		if a == nil {
-			return nil, nil, fmt.Errorf("job %s: its array is not there", r.ID)
+			return nil, nil, fmt.Errorf("job %s: its array %s is not in the store", r.ID, r.Array)
 		}
 		arrays = append(arrays, a)
 	}
 	return records, arrays, nil
 }
 
+// Values of the column settled, and the condition that selects the undecided jobs.
 const (
 	settledRan         = "ran"
 	settledNever       = "never ran"
@@ -270,7 +271,7 @@
 )
 
 // Undecided implements jobs.Store: it lists undecided jobs that are not settled, oldest first.
-func (s *Store) Undecided(ctx context.Context, classes []string, after drmaa.Cursor, most int) ([]*jobs.Record, error) {
+func (s *Store) Undecided(ctx context.Context, classes []string, after drmaa.Cursor, limit int) ([]*jobs.Record, error) {
 	if len(classes) == 0 {
 		return nil, nil
 	}
@@ -279,20 +280,20 @@
 		args = append(args, c)
 	}
 	return s.queryJobs(ctx, s.db, `SELECT `+jobColumns+` FROM jobs j WHERE `+undecidedCondition+` AND (j.seq > ? OR j.seq = ? AND j.id > ?)
-		AND j.category IN (?`+strings.Repeat(", ?", len(classes)-1)+`) ORDER BY j.seq, j.id LIMIT ?`, append(args, most)...)
+		AND j.category IN (?`+strings.Repeat(", ?", len(classes)-1)+`) ORDER BY j.seq, j.id LIMIT ?`, append(args, limit)...)
 }
 
 // Settle implements jobs.Store: it settles an undecided job.
 func (s *Store) Settle(ctx context.Context, id string, v jobs.Settlement) (bool, error) {
-	as := settledNever
+	decision := settledNever
 	if v.Ran {
-		as = settledRan
+		decision = settledRan
 	}
-	done, err := s.db.ExecContext(ctx, s.rebind(`UPDATE jobs SET settled = ?, settled_reason = ?, settled_at = ? WHERE id = ? AND `+undecidedCondition),
-		as, v.Reason, v.At, id)
+	result, err := s.db.ExecContext(ctx, s.rebind(`UPDATE jobs SET settled = ?, settled_reason = ?, settled_at = ? WHERE id = ? AND `+undecidedCondition),
+		decision, v.Reason, v.At, id)
 	if err != nil {
 		return false, err
 	}
-	n, err := done.RowsAffected()
+	n, err := result.RowsAffected()
 	return n == 1, err
 }
--- a/internal/node/batch/store/lock.go
+++ b/internal/node/batch/store/lock.go
@@ -8,12 +8,12 @@
 	"syscall"
 )
 
-// errOpenElsewhere is the error of a store that another node has open.
-var errOpenElsewhere = errors.New("another node has it open")
+// errLocked is returned for a store that another node has open.
+var errLocked = errors.New("another node has it open")
 
-// lockFile locks a SQLite file for this process, by a file beside it: two nodes on one file would
-// both run its jobs. The operating system releases the lock when the process ends. It returns nil
-// for a database in memory.
+// lockFile takes an exclusive lock on a SQLite database through a separate file, since two nodes on
+// one database would both run its jobs. The operating system releases the lock when the process
+// ends. For an in-memory database lockFile returns nil.
 func lockFile(path string) (*os.File, error) {
 	path = strings.TrimPrefix(path, "file:")
 	if path == "" || strings.Contains(path, ":memory:") {
@@ -25,7 +25,7 @@
 	}
 	if err := syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
 		if errors.Is(err, syscall.EWOULDBLOCK) {
-			err = errOpenElsewhere
+			err = errLocked
 		}
 		return nil, errors.Join(fmt.Errorf("%s: %w", path, err), f.Close())
 	}
--- a/internal/node/batch/store/store.go
+++ b/internal/node/batch/store/store.go
@@ -1,8 +1,8 @@
-// Package store is the batch front's store of record in SQLite or PostgreSQL. It implements
-// jobs.Store, and Executor runs its calls off the event loop.
+// Package store implements jobs.Store, the batch front's store of record, in SQLite or PostgreSQL.
+// Executor runs its calls off the event loop.
 //
-// The schema is in migrations, which Open applies. Each write is one transaction, durable before
-// it returns. It decides nothing about jobs; package jobs does.
+// The schema is in the folder migrations, which Open applies. Each write is one transaction that is
+// durable before the call returns. Decisions about jobs are made in package jobs only.
 package store
 
 import (
@@ -17,9 +17,9 @@
 	"strconv"
 	"strings"
 
-	_ "github.com/jackc/pgx/v5/stdlib" // PostgreSQL
+	_ "github.com/jackc/pgx/v5/stdlib" // driver for PostgreSQL
 	"github.com/pressly/goose/v3"
-	_ "modernc.org/sqlite" // SQLite
+	_ "modernc.org/sqlite" // driver for SQLite
 
 	"ospreybend/internal/node/batch/jobs"
 	"ospreybend/internal/node/faultinjection"
@@ -28,11 +28,11 @@
 //go:embed migrations/*.sql
 var migrations embed.FS
 
-// Store is the store of record. It has one connection to the database.
+// Store is the store of record. It uses one connection to the database.
 type Store struct {
 	db                   *sql.DB
-	lock                 *os.File // nil: not needed
-	numberedPlaceholders bool     // placeholders are $1, $2 instead of ?
+	lock                 *os.File // nil if the database needs none
+	numberedPlaceholders bool     // placeholders are $1, $2, ... instead of ?
 
 	insertJob, keyExists, updateJob, finishJob *sql.Stmt // prepared
 }
@@ -40,15 +40,16 @@
 var _ jobs.Store = (*Store)(nil)
 
 // Open opens a store and migrates its tables to this program's version. kind is "sqlite" or
-// "postgres", source a file or a connection string. A store whose tables are newer than the program
-// is an error.
+// "postgres"; source is a file or a connection string. Open fails if the tables are newer than the
+// program.
 func Open(ctx context.Context, kind, source string) (*Store, error) {
 	var driver string
 	var dialect goose.Dialect
 	var lock *os.File
 	switch kind {
 	case "sqlite":
-		// Durable before each commit returns (synchronous=FULL), and readable meanwhile (WAL).
+		// synchronous(FULL) makes each commit durable before it returns; WAL keeps the database
+		// readable during a write.
 		driver, dialect = "sqlite", goose.DialectSQLite3
 		path, query, _ := strings.Cut(source, "?")
 		var err error
@@ -66,7 +67,7 @@
 	case "postgres":
 		driver, dialect = "pgx", goose.DialectPostgres
 	default:
-		return nil, fmt.Errorf("store: %q is neither sqlite nor postgres", kind)
+		return nil, fmt.Errorf("store: kind %q is neither sqlite nor postgres", kind)
 	}
 	db, err := sql.Open(driver, source)
 	if err != nil {
@@ -83,7 +84,7 @@
 	for _, p := range []struct {
 		into *(*sql.Stmt)
 		text string
-	}{{&s.insertJob, insertJob}, {&s.keyExists, keyExists}, {&s.updateJob, updateJob}, {&s.finishJob, finishJob}} {
+	}{{&s.insertJob, insertJobSQL}, {&s.keyExists, keyExistsSQL}, {&s.updateJob, updateJobSQL}, {&s.finishJob, finishJobSQL}} {
 		if *p.into, err = db.PrepareContext(ctx, s.rebind(p.text)); err != nil {
 			return nil, errors.Join(fmt.Errorf("store: %w", err), s.Close())
 		}
@@ -101,20 +102,20 @@
 	if err != nil {
 		return err
 	}
-	have, err := provider.GetDBVersion(ctx)
+	current, err := provider.GetDBVersion(ctx)
 	if err != nil {
 		return err
 	}
 	sources := provider.ListSources()
-	if newest := sources[len(sources)-1].Version; have > newest {
-		return fmt.Errorf("its tables are of version %d, and this program knows %d at most: run the program that made them", have, newest)
+	if newest := sources[len(sources)-1].Version; current > newest {
+		return fmt.Errorf("the tables have version %d, but this program supports versions up to %d: run the program version that created them", current, newest)
 	}
 	_, err = provider.Up(ctx)
 	return err
 }
 
-// backfill fills the columns that lists select by, for the jobs of the first version's tables,
-// from their templates. It proceeds in small transactions, so that it can be interrupted.
+// backfill sets the columns that lists filter by, for jobs that were stored by the first version of
+// the tables, from the jobs' templates. It uses small transactions, so that it can be interrupted.
 func (s *Store) backfill(ctx context.Context) error {
 	for {
 		rows, err := s.queryJobs(ctx, s.db, `SELECT `+jobColumns+` FROM jobs j WHERE j.category = '' AND j.array_id = '' LIMIT 500`)
@@ -129,7 +130,7 @@
 					return err
 				}
 				if t.RemoteCommand == "" {
-					return fmt.Errorf("job %s: its template names no class", r.ID)
+					return fmt.Errorf("job %s: its template has no remoteCommand", r.ID)
 				}
 			}
 			return nil
@@ -149,7 +150,7 @@
 	return err
 }
 
-// rebind returns a statement with the database's form of placeholders.
+// rebind replaces the placeholders of a statement by those of the database.
 func (s *Store) rebind(statement string) string {
 	if !s.numberedPlaceholders {
 		return statement
@@ -167,7 +168,7 @@
 	return b.String()
 }
 
-// exec executes one statement.
+// exec executes one statement outside a transaction.
 func (s *Store) exec(ctx context.Context, statement string, args ...any) error {
 	_, err := s.db.ExecContext(ctx, s.rebind(statement), args...)
 	return err
@@ -178,7 +179,7 @@
 	return s.inTransactionBetween(ctx, "", "", body)
 }
 
-// inTransactionBetween is inTransaction with a fault point on either side of the commit.
+// inTransactionBetween is like inTransaction, with fault injection points before and after the commit.
 func (s *Store) inTransactionBetween(ctx context.Context, before, after string, body func(tx *sql.Tx) error) error {
 	tx, err := s.db.BeginTx(ctx, nil)
 	if err != nil {
@@ -208,7 +209,7 @@
 	return rows.Err()
 }
 
-// Tenants returns all tenants.
+// Tenants implements jobs.Store: it returns all tenants, sorted by name.
 func (s *Store) Tenants(ctx context.Context) (out []jobs.Tenant, err error) {
 	err = s.forEachRow(ctx, func(r *sql.Rows) error {
 		var t jobs.Tenant
@@ -219,14 +220,14 @@
 	return out, err
 }
 
-// PutTenant adds a tenant or changes it.
+// PutTenant implements jobs.Store: it adds or changes a tenant.
 func (s *Store) PutTenant(ctx context.Context, t jobs.Tenant) error {
 	return s.exec(ctx, `INSERT INTO tenants (name, token_hash, quota) VALUES (?, ?, ?)
 		ON CONFLICT (name) DO UPDATE SET token_hash = excluded.token_hash, quota = excluded.quota`,
 		t.Name, t.TokenHash, t.Quota)
 }
 
-// Sessions returns all sessions.
+// Sessions implements jobs.Store: it returns all sessions, sorted by tenant and name.
 func (s *Store) Sessions(ctx context.Context) (out []jobs.SessionRecord, err error) {
 	err = s.forEachRow(ctx, func(r *sql.Rows) error {
 		var v jobs.SessionRecord
@@ -237,13 +238,13 @@
 	return out, err
 }
 
-// PutSession adds a session or changes its state.
+// PutSession implements jobs.Store: it adds a session or changes its state.
 func (s *Store) PutSession(ctx context.Context, v jobs.SessionRecord) error {
 	return s.exec(ctx, `INSERT INTO sessions (tenant, name, state) VALUES (?, ?, ?)
 		ON CONFLICT (tenant, name) DO UPDATE SET state = excluded.state`, v.Tenant, v.Name, v.State)
 }
 
-// DropSession removes a session and hides its jobs from their owner.
+// DropSession implements jobs.Store: it removes a session and hides its jobs from their tenant.
 func (s *Store) DropSession(ctx context.Context, tenant, name string) error {
 	return s.inTransaction(ctx, func(tx *sql.Tx) error {
 		for _, statement := range []string{`DELETE FROM sessions WHERE tenant = ? AND name = ?`,
--- a/internal/node/batch/store/store_test.go
+++ b/internal/node/batch/store/store_test.go
@@ -13,6 +13,7 @@
 	"ospreybend/internal/node/batch/jobs"
 )
 
+// must fails the test if err is not nil.
 func must(t *testing.T, err error) {
 	t.Helper()
 	if err != nil {
@@ -20,6 +21,7 @@
 	}
 }
 
+// open opens a SQLite store that is closed at the end of the test.
 func open(t *testing.T, file string) *Store {
 	t.Helper()
 	s, err := Open(t.Context(), "sqlite", file)
@@ -28,25 +30,30 @@
 	return s
 }
 
+// job returns a record of a single waiting job.
 func job(id string, seq int64) *jobs.Record {
 	return &jobs.Record{ID: id, Tenant: "anna", Session: "s", Seq: seq, SubmittedAt: seq,
 		Template: &drmaa.JobTemplate{RemoteCommand: "buchen", JobName: "n" + id}}
 }
 
-func one(r *jobs.Record) []*jobs.Submission { return []*jobs.Submission{{Jobs: []*jobs.Record{r}}} }
+// submissionOf returns the submission of a single job.
+func submissionOf(r *jobs.Record) []*jobs.Submission {
+	return []*jobs.Submission{{Jobs: []*jobs.Record{r}}}
+}
 
-// A job's first final state is not overwritten.
+// The first final state of a job is not overwritten. A submission whose client key is in use is not
+// stored.
 func TestStore_Finish_firstFinalStateStands(t *testing.T) {
 	s, ctx := open(t, filepath.Join(t.TempDir(), "x?y#.db")), context.Background()
 	first := job("1", 1)
 	first.ClientKey = "k"
-	if got, err := s.Insert(ctx, one(first)); err != nil || got[0] != (jobs.ExistingSubmission{}) {
-		t.Fatal(got, err)
+	if got, err := s.Insert(ctx, submissionOf(first)); err != nil || got[0] != (jobs.ExistingSubmission{}) {
+		t.Fatalf("insert of job 1: got %+v, error %v, want no existing submission", got, err)
 	}
 	second := job("2", 2)
 	second.ClientKey = "k"
-	if got, err := s.Insert(ctx, one(second)); err != nil || got[0].Job == nil || got[0].Job.ID != "1" {
-		t.Fatal(got, err)
+	if got, err := s.Insert(ctx, submissionOf(second)); err != nil || got[0].Job == nil || got[0].Job.ID != "1" {
+		t.Fatalf("insert of job 2 with the client key of job 1: got %+v, error %v, want job 1", got, err)
 	}
 	must(t, s.Update(ctx, []jobs.RecordUpdate{{ID: "1", Sent: true}}))
 	must(t, s.Finish(ctx, []*jobs.Record{{ID: "1", State: drmaa.Done, Result: []byte("a\x00b"), EndedAt: 5,
@@ -55,17 +62,18 @@
 	must(t, s.Update(ctx, []jobs.RecordUpdate{{ID: "1", Held: true}}))
 	got, err := s.Job(ctx, "anna", "1")
 	if err != nil || got.State != drmaa.Done || string(got.Result) != "a\x00b" || !got.Sent || got.EndedAt != 5 || got.Steps[0].Machine != "m" {
-		t.Errorf("%+v, %v", got, err)
+		t.Errorf("job 1 finished as DONE, then as FAILED: got %+v, error %v, want the first final state", got, err)
 	}
 	if left, _, err := s.Unfinished(ctx); err != nil || len(left) != 0 {
-		t.Errorf("%v, %v", left, err)
+		t.Errorf("Unfinished after the end of the only job: got %v, error %v, want none", left, err)
 	}
 	if got, err := s.Job(ctx, "ben", "1"); err != nil || got != nil {
-		t.Errorf("another tenant's job: %v, %v", got, err)
+		t.Errorf("Job for another tenant: got %v, error %v, want nil", got, err)
 	}
 }
 
-func bulkOf(id, key string, n int) *jobs.Submission {
+// bulkSubmission returns the submission of an array of n jobs.
+func bulkSubmission(id, key string, n int) *jobs.Submission {
 	t := &drmaa.JobTemplate{RemoteCommand: "buchen", Input: "x"}
 	sub := &jobs.Submission{Array: &jobs.ArrayRecord{ID: id, Tenant: "anna", Session: "s", ClientKey: key, Digest: "d", Template: t,
 		Begin: 1, End: n, Step: 1}}
@@ -77,48 +85,49 @@
 	return sub
 }
 
+// An array is stored with all its jobs or not at all, and counts its jobs by state.
 func TestStore_arrays(t *testing.T) {
 	s, ctx := open(t, filepath.Join(t.TempDir(), "x.db")), context.Background()
-	bulk := bulkOf("A", "k", 5)
-	clash := bulkOf("B", "", 2)
+	bulk := bulkSubmission("A", "k", 5)
+	clash := bulkSubmission("B", "", 2)
 	clash.Jobs[1].ID = "A.3"
 	if _, err := s.Insert(ctx, []*jobs.Submission{bulk, clash}); err == nil {
-		t.Fatal("an id twice")
+		t.Fatal("insert of a job with an existing ID succeeded")
 	}
 	if left, arrays, _ := s.Unfinished(ctx); len(left)+len(arrays) != 0 {
-		t.Fatalf("%d jobs of a bulk that failed are there", len(left))
+		t.Fatalf("%d jobs and %d arrays stored by a failed Insert, want none", len(left), len(arrays))
 	}
-	for range 2 { // the second time the key is taken
+	for range 2 { // the second time the client key is in use
 		got, err := s.Insert(ctx, []*jobs.Submission{bulk})
 		must(t, err)
 		if a := got[0].Array; a != nil && (a.ID != "A" || a.States[drmaa.Queued] != 5) {
-			t.Errorf("%+v", a)
+			t.Errorf("second insert of array A: got %+v, want A with 5 queued jobs", a)
 		}
 	}
 	single := job("1", 1)
 	single.ClientKey = "k"
-	if got, err := s.Insert(ctx, one(single)); err != nil || got[0].Array == nil {
-		t.Errorf("a job under an array's key: %+v, %v", got, err)
+	if got, err := s.Insert(ctx, submissionOf(single)); err != nil || got[0].Array == nil {
+		t.Errorf("insert of a job with the client key of an array: got %+v, error %v, want the array", got, err)
 	}
 	must(t, s.Update(ctx, []jobs.RecordUpdate{{ID: "A.2", Held: true}}))
 	must(t, s.Finish(ctx, []*jobs.Record{{ID: "A.1", State: drmaa.Done, EndedAt: 9}}))
 	a, err := s.Array(ctx, "anna", "A")
 	if err != nil || a.States[drmaa.Queued] != 3 || a.States[drmaa.QueuedHeld] != 1 || a.States[drmaa.Done] != 1 {
-		t.Errorf("%+v, %v", a, err)
+		t.Errorf("Array: got %+v, error %v, want 3 queued, 1 held and 1 done", a, err)
 	}
 	left, arrays, err := s.Unfinished(ctx)
 	if err != nil || len(left) != 4 || len(arrays) != 1 || left[0].Template != left[3].Template || left[0].State != drmaa.QueuedHeld {
-		t.Errorf("%d unfinished, %d arrays, %v", len(left), len(arrays), err)
+		t.Errorf("Unfinished: got %d jobs, %d arrays, error %v, want 4 jobs with a shared template, the first one held, and 1 array", len(left), len(arrays), err)
 	}
 	if r, err := s.AnyEnded(ctx, "anna", "s", "A"); err != nil || r.ID != "A.1" {
-		t.Errorf("%+v, %v", r, err)
+		t.Errorf("AnyEnded: got %+v, error %v, want job A.1", r, err)
 	}
 	if n, err := s.Reap(ctx, jobs.ReapSelector{Tenant: "anna", Session: "s", Array: "A"}); err != nil || n != 1 {
-		t.Errorf("%d reaped, %v", n, err)
+		t.Errorf("Reap: got %d, error %v, want 1", n, err)
 	}
 	must(t, s.DropSession(ctx, "anna", "s"))
 	if all, err := s.Jobs(ctx, "anna", "", drmaa.Filter{}, 10); err != nil || len(all) != 0 {
-		t.Errorf("%d jobs of a destroyed session, %v", len(all), err)
+		t.Errorf("Jobs of a dropped session: got %d, error %v, want none", len(all), err)
 	}
 }
 
@@ -127,7 +136,7 @@
 	for i := range 20 {
 		r := job(fmt.Sprintf("%02d", i), int64(100+i/2))
 		r.Template.AccountingID = fmt.Sprint(i % 3)
-		_, err := s.Insert(ctx, one(r))
+		_, err := s.Insert(ctx, submissionOf(r))
 		must(t, err)
 		if i%4 == 0 {
 			must(t, s.Finish(ctx, []*jobs.Record{{ID: r.ID, State: drmaa.Failed, EndedAt: int64(1000 + i)}}))
@@ -141,7 +150,7 @@
 		{drmaa.Filter{SubmittedFrom: 105, SubmittedTo: 107}, 4}, {drmaa.Filter{FinishedFrom: 1004, FinishedTo: 1012}, 2},
 		{drmaa.Filter{States: []drmaa.State{drmaa.Done}}, 0}} {
 		if got, err := s.Jobs(ctx, "anna", "s", c.f, 100); err != nil || len(got) != c.want {
-			t.Errorf("%+v: %d jobs, %v", c.f, len(got), err)
+			t.Errorf("Jobs with filter %+v: got %d, error %v, want %d", c.f, len(got), err, c.want)
 		}
 	}
 	var f drmaa.Filter
@@ -158,11 +167,11 @@
 		}
 	}
 	if len(ids) != 20 || ids[0] != "18" || ids[1] != "19" || ids[19] != "01" {
-		t.Errorf("pages run %v", ids)
+		t.Errorf("IDs in pages of 3: got %v, want 20 IDs, newest first", ids)
 	}
 }
 
-// A store of the first version of the program is migrated without loss.
+// A store with the first version of the tables is migrated without loss.
 func TestOpen_migratesTheFirstTables(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "old.db")
 	db, err := sql.Open("sqlite", file)
@@ -185,32 +194,33 @@
 		ctx := context.Background()
 		records, _, err := s.Unfinished(ctx)
 		if err != nil || len(records) != 1 || !records[0].Sent || records[0].Seq != 5 || records[0].Template.Deadline != 9 {
-			t.Fatalf("%+v, %v", records, err)
+			t.Fatalf("Unfinished after migration: got %+v, error %v, want job j1, sent", records, err)
 		}
 		if r, err := s.Job(ctx, "anna", "j2"); err != nil || string(r.Result) != "fine" || r.ExitStatus != -1 {
-			t.Errorf("%+v, %v", r, err)
+			t.Errorf("job j2 after migration: got %+v, error %v, want result \"fine\" and exit status -1", r, err)
 		}
 		if all, err := s.Jobs(ctx, "anna", "", drmaa.Filter{Category: "buchen"}, 10); err != nil || len(all) != 2 {
-			t.Errorf("%d jobs by their class, %v", len(all), err)
+			t.Errorf("Jobs by class after migration: got %d, error %v, want 2", len(all), err)
 		}
 		if sessions, err := s.Sessions(ctx); err != nil || len(sessions) != 1 || sessions[0].State != jobs.SessionOpen {
-			t.Errorf("%+v, %v", sessions, err)
+			t.Errorf("Sessions after migration: got %+v, error %v, want one open session", sessions, err)
 		}
 		must(t, s.Close())
 	}
-	// One of a later version is left unchanged.
+	// A store with newer tables is not opened.
 	s := open(t, file)
 	must(t, s.exec(t.Context(), `INSERT INTO goose_db_version (version_id, is_applied) VALUES (99, 1)`))
 	must(t, s.Close())
 	if _, err := Open(t.Context(), "sqlite", file); err == nil || !strings.Contains(err.Error(), "version 99") {
-		t.Errorf("newer tables: %v", err)
+		t.Errorf("Open with tables of version 99: got error %v, want one that names the version", err)
 	}
 }
 
+// Undecided lists failed jobs that may have run, of the given classes, until they are settled.
 func TestStore_Undecided(t *testing.T) {
 	s, ctx := open(t, filepath.Join(t.TempDir(), "x.db")), context.Background()
 	for i := range 6 {
-		_, err := s.Insert(ctx, one(job(fmt.Sprint(i), int64(i+1))))
+		_, err := s.Insert(ctx, submissionOf(job(fmt.Sprint(i), int64(i+1))))
 		must(t, err)
 		must(t, s.Finish(ctx, []*jobs.Record{{ID: fmt.Sprint(i), State: drmaa.Failed, MayHaveRun: i != 2, ExitStatus: -1 + i%2*i/5, EndedAt: 9}}))
 	}
@@ -223,19 +233,19 @@
 		return out
 	}
 	if got := ids(drmaa.Cursor{}, "other", "buchen"); got != "0134" {
-		t.Errorf("undecided %s", got)
+		t.Errorf("undecided jobs of two classes: got %q, want %q", got, "0134")
 	}
 	if got := ids(drmaa.Cursor{Seq: 2, ID: "1"}, "buchen") + ids(drmaa.Cursor{}, "other") + ids(drmaa.Cursor{}); got != "34" {
-		t.Errorf("undecided %s", got)
+		t.Errorf("undecided jobs after job 1, of an unused class and of no class: got %q, want %q", got, "34")
 	}
 	for _, want := range []bool{true, false} {
 		if ok, err := s.Settle(ctx, "1", jobs.Settlement{At: 7, Ran: true, Reason: "asked"}); err != nil || ok != want {
-			t.Errorf("%v, %v", ok, err)
+			t.Errorf("Settle: got %v, error %v, want %v", ok, err, want)
 		}
 	}
 	r, err := s.Job(ctx, "anna", "1")
 	if err != nil || r.Settled != (jobs.Settlement{At: 7, Ran: true, Reason: "asked"}) || ids(drmaa.Cursor{}, "buchen") != "034" {
-		t.Errorf("%+v, %v", r.Settled, err)
+		t.Errorf("job 1 after Settle: got %+v, error %v, want it settled and not listed", r.Settled, err)
 	}
 }
 
@@ -244,24 +254,24 @@
 	file := filepath.Join(t.TempDir(), "x.db")
 	first, err := Open(t.Context(), "sqlite", file)
 	must(t, err)
-	if _, err := Open(t.Context(), "sqlite", file); !errors.Is(err, errOpenElsewhere) || !strings.Contains(err.Error(), file) {
-		t.Errorf("a second node: %v", err)
+	if _, err := Open(t.Context(), "sqlite", file); !errors.Is(err, errLocked) || !strings.Contains(err.Error(), file) {
+		t.Errorf("second Open of a locked file: got error %v, want errLocked with the file name", err)
 	}
 	must(t, first.Close())
 	again, err := Open(t.Context(), "sqlite", file)
 	must(t, err)
 	must(t, again.Close())
 	if _, err := Open(t.Context(), "sqlite", filepath.Join(file, "none", "x.db")); err == nil {
-		t.Error("a folder that is not there opens")
+		t.Error("Open in a missing folder succeeded")
 	}
 }
 
 func TestStore_rebind(t *testing.T) {
 	postgres := &Store{numberedPlaceholders: true}
 	if got := postgres.rebind("a = ? AND b = ?"); got != "a = $1 AND b = $2" {
-		t.Error(got)
+		t.Errorf("rebind: got %q, want numbered placeholders", got)
 	}
 	if _, err := Open(t.Context(), "mysql", "x"); err == nil {
-		t.Error("a store of another kind opens")
+		t.Error("Open of a store of kind mysql succeeded")
 	}
 }
