--- a/internal/node/batch/jobs/compatibility_test.go
+++ b/internal/node/batch/jobs/compatibility_test.go
@@ -7,7 +7,7 @@
 	"ospreybend/internal/testkit/golden"
 )
 
-// compatibilityRows are the documents of the administration's API, and the steps of a job as they are stored.
+// compatibilityRows returns the documents of the admin API and the stored form of a job's steps.
 func compatibilityRows() []golden.Row {
 	return []golden.Row{
 		golden.FilledJSON[jobs.Counts]("counts.json"),
--- a/internal/node/batch/jobs/control.go
+++ b/internal/node/batch/jobs/control.go
@@ -9,7 +9,7 @@
 	"ospreybend/drmaa"
 )
 
-// The actions on a job, an array and a session's jobs.
+// Actions on a job, an array or the jobs of a session.
 const (
 	Hold      = "hold"
 	Release   = "release"
@@ -17,8 +17,8 @@
 	Reap      = "reap"
 )
 
-// Act performs an action on a job. done is called once its effect is recorded, or with an error.
-// A terminated job's end follows after that.
+// Act performs an action on a job. done is called once the effect is stored, or with an error.
+// Terminate is the exception: done is called first, and the job ends once its final state is stored.
 func (m *Manager) Act(job *Job, action string, done func(*drmaa.Error)) {
 	switch action {
 	case Hold:
@@ -38,8 +38,8 @@
 
 var jobHasEnded = drmaa.InvalidStateError("the job has ended")
 
-// holdJob keeps a waiting job from being sent. A job in the core is withdrawn, unless a step of
-// it may have run.
+// holdJob holds a waiting job, so that it is not sent. A job in the core is withdrawn; holding fails
+// if one of its steps may have run.
 func (m *Manager) holdJob(job *Job, done func(*drmaa.Error)) {
 	switch {
 	case job.ending || job.State.Final():
@@ -49,7 +49,7 @@
 		done(drmaa.InvalidStateError("the job is %s", job.State))
 		return
 	case job.stage == inCore && m.core.MayHaveRun(job.operation):
-		done(drmaa.InvalidStateError("the job has gone to a prep worker"))
+		done(drmaa.InvalidStateError("the job may have been sent to a prep worker"))
 		return
 	}
 	if job.stage == inCore {
@@ -79,7 +79,7 @@
 	m.launchQueued()
 }
 
-// releaseJob releases a held job once the store has it as released.
+// releaseJob releases a held job after the store has recorded the release.
 func (m *Manager) releaseJob(job *Job, done func(*drmaa.Error)) {
 	switch {
 	case job.ending || job.State.Final():
@@ -103,7 +103,7 @@
 	}})
 }
 
-// Terminate fails a job on request.
+// Terminate ends a job as FAILED on request. A job in the core is withdrawn.
 func (m *Manager) Terminate(job *Job) *drmaa.Error {
 	switch {
 	case job.ending || job.State.Final():
@@ -124,7 +124,8 @@
 	return nil
 }
 
-// TerminateID terminates a job in memory, for the administration.
+// TerminateID terminates the job with an ID, of any tenant, for the admin API. Only jobs in memory
+// are found.
 func (m *Manager) TerminateID(id string) (*Job, *drmaa.Error) {
 	job := m.jobs[id]
 	if job == nil {
@@ -133,21 +134,21 @@
 	return job, m.Terminate(job)
 }
 
-// ActOnArray performs an action on all jobs of an array whose state allows it. If there is none,
-// the error is that of a single job.
+// ActOnArray performs an action on all jobs of an array whose state allows it. If no job's state
+// does, the result is the error of one of the jobs.
 func (m *Manager) ActOnArray(array *Array, action string, done func(*drmaa.Affected, *drmaa.Error)) {
 	if action == Reap {
 		if array.unfinished > 0 {
 			done(nil, drmaa.InvalidStateError("%d jobs of the array have not ended", array.unfinished))
 			return
 		}
-		var at []*Job
+		var ended []*Job
 		for _, job := range m.jobs {
 			if job.array == array {
-				at = append(at, job)
+				ended = append(ended, job)
 			}
 		}
-		m.reap(ReapSelector{Tenant: array.Tenant, Session: array.Session, Array: array.ID}, at, func(n int, e *drmaa.Error) {
+		m.reap(ReapSelector{Tenant: array.Tenant, Session: array.Session, Array: array.ID}, ended, func(n int, e *drmaa.Error) {
 			if e != nil {
 				done(nil, e)
 				return
@@ -164,15 +165,15 @@
 	m.actOnAll(all, action, done)
 }
 
-// actOnAll performs an action on jobs and counts those it applied to.
+// actOnAll performs an action on several jobs and counts those that it applied to.
 func (m *Manager) actOnAll(all []*Job, action string, done func(*drmaa.Affected, *drmaa.Error)) {
 	if len(all) == 0 {
 		done(nil, jobHasEnded)
 		return
 	}
 	var out drmaa.Affected
-	var fault *drmaa.Error
-	left := len(all)
+	var failure *drmaa.Error
+	remaining := len(all)
 	for _, job := range all {
 		m.Act(job, action, func(e *drmaa.Error) {
 			switch {
@@ -181,14 +182,14 @@
 			case e.Name == drmaa.InvalidState:
 				out.RuledOut++
 			}
-			if e != nil && (fault == nil || e.Name != drmaa.InvalidState) {
-				fault = e
+			if e != nil && (failure == nil || e.Name != drmaa.InvalidState) {
+				failure = e
 			}
-			if left--; left > 0 {
+			if remaining--; remaining > 0 {
 				return
 			}
-			if out.Applied == 0 || fault != nil && fault.Name != drmaa.InvalidState {
-				done(nil, fault)
+			if out.Applied == 0 || failure != nil && failure.Name != drmaa.InvalidState {
+				done(nil, failure)
 				return
 			}
 			done(&out, nil)
@@ -196,29 +197,29 @@
 	}
 }
 
-// reap hides ended jobs from their owner.
-func (m *Manager) reap(what ReapSelector, at []*Job, done func(int, *drmaa.Error)) {
-	for _, job := range at {
+// reap hides ended jobs from their tenant and forgets those in memory.
+func (m *Manager) reap(selector ReapSelector, inMemory []*Job, done func(int, *drmaa.Error)) {
+	for _, job := range inMemory {
 		if !job.State.Final() {
-			done(0, drmaa.InvalidStateError("the job is %s; only one that has ended is reaped", job.State))
+			done(0, drmaa.InvalidStateError("the job is %s; only an ended job can be reaped", job.State))
 			return
 		}
 	}
 	callStore(m, func(ctx context.Context, store Store) (int, error) {
-		return store.Reap(ctx, what)
+		return store.Reap(ctx, selector)
 	}, func(count int, e *drmaa.Error) {
 		if e != nil {
 			done(0, e)
 			return
 		}
-		for _, job := range at {
+		for _, job := range inMemory {
 			m.forget(job)
 		}
 		done(count, nil)
 	})
 }
 
-// byAge sorts jobs, the oldest first.
+// byAge returns jobs sorted by submission, oldest first.
 func byAge(all map[*Job]bool) []*Job {
 	return slices.SortedFunc(maps.Keys(all), func(a, b *Job) int { return cmp.Compare(a.Seq, b.Seq) })
 }
--- a/internal/node/batch/jobs/events.go
+++ b/internal/node/batch/jobs/events.go
@@ -7,18 +7,18 @@
 	"ospreybend/drmaa"
 )
 
-// stream has a tenant's last events and those who follow them. Its size is bounded, however slow
-// the readers are: a slow reader misses events, and is told how many.
+// stream holds a tenant's latest events and its followers. Its size is bounded independently of the
+// readers' speed: a slow reader misses events and learns how many.
 type stream struct {
-	first     uint64 // the number of events[0]
+	first     uint64 // sequence number of events[0]
 	events    []drmaa.Event
 	followers map[*follower]bool
 }
 
-// follower is a client that follows a stream; see Follow.
+// follower is a client that is notified of new events; see Follow.
 type follower struct{ wake func() }
 
-// stream returns a tenant's stream.
+// stream returns a tenant's stream, which is created if it does not exist.
 func (m *Manager) stream(tenant string) *stream {
 	s := m.streams[tenant]
 	if s == nil {
@@ -28,19 +28,20 @@
 	return s
 }
 
-// publish adds an event to the stream of the job's owner.
-func (m *Manager) publish(job *Job, what, machine string) {
+// publish appends an event of the given kind to the stream of the job's tenant. machine may be
+// empty.
+func (m *Manager) publish(job *Job, kind, machine string) {
 	if !job.recorded {
-		return // its submission is not acknowledged yet
+		return // its submission has not been acknowledged yet
 	}
 	stream := m.stream(job.Tenant)
 	if maxEvents := m.config.MaxEvents; len(stream.events) >= maxEvents {
-		n := max(maxEvents/4, 1) // a quarter at once, so that the copy costs little per event
+		n := max(maxEvents/4, 1) // drop a quarter at once to amortize the copy
 		retained := make([]drmaa.Event, len(stream.events)-n, maxEvents)
 		copy(retained, stream.events[n:])
 		stream.events, stream.first = retained, stream.first+uint64(n)
 	}
-	event := drmaa.Event{Seq: stream.first + uint64(len(stream.events)), Time: drmaa.Stamp(m.unixNow()), Event: what, Session: job.Session,
+	event := drmaa.Event{Seq: stream.first + uint64(len(stream.events)), Time: drmaa.Stamp(m.unixNow()), Event: kind, Session: job.Session,
 		Job: job.ID, State: job.State, Machine: machine}
 	if job.State.Final() {
 		event.SubState = job.Reason
@@ -51,12 +52,12 @@
 	}
 }
 
-// Events returns up to limit events of a session after a cursor. An empty cursor is the present,
-// "oldest" the oldest event retained. With a cursor of an earlier run of the program the number
-// of missed events is unknown.
+// Events returns up to limit events of a session after a cursor. An empty cursor means the end of
+// the stream, "oldest" the oldest retained event. For a cursor from an earlier run of the program
+// the number of missed events is unknown and reported as -1.
 func (m *Manager) Events(t *TenantState, session, cursor string, limit int) (*drmaa.Events, *drmaa.Error) {
 	s := m.stream(t.Name)
-	next := s.first + uint64(len(s.events)) // the number that the next event will have
+	next := s.first + uint64(len(s.events)) // sequence number of the next event
 	out := &drmaa.Events{Events: []drmaa.Event{}}
 	from := next
 	switch epoch, digits, ok := strings.Cut(cursor, "-"); {
@@ -64,13 +65,13 @@
 	case cursor == "oldest":
 		from = s.first
 	case !ok:
-		return nil, drmaa.InvalidArgumentError("cursor", "%q is no cursor of this stream", cursor)
+		return nil, drmaa.InvalidArgumentError("cursor", "%q is not a cursor of this stream", cursor)
 	case epoch != m.streamEpoch:
 		from, out.Missed = s.first, -1
 	default:
 		n, err := strconv.ParseUint(digits, 36, 64)
 		if err != nil || n > next {
-			return nil, drmaa.InvalidArgumentError("cursor", "%q is no cursor of this stream", cursor)
+			return nil, drmaa.InvalidArgumentError("cursor", "%q is not a cursor of this stream", cursor)
 		}
 		from = max(n, s.first)
 		out.Missed = int64(from - n)
@@ -84,7 +85,7 @@
 	return out, nil
 }
 
-// Follow has wake called for each new event of a tenant, until leave is called.
+// Follow calls wake for each new event of a tenant until leave is called.
 func (m *Manager) Follow(t *TenantState, wake func()) (leave func()) {
 	s := m.stream(t.Name)
 	f := &follower{wake}
--- a/internal/node/batch/jobs/fixture_test.go
+++ b/internal/node/batch/jobs/fixture_test.go
@@ -14,8 +14,8 @@
 	"ospreybend/internal/node/timerqueue"
 )
 
-// fixture is a manager with a scripted core and a store in memory, whose calls run when the test
-// says so.
+// fixture is a manager with a fake core, an in-memory store and a fake clock. Calls of the store are
+// queued until the test runs them.
 type fixture struct {
 	t       testingT
 	now     time.Duration
@@ -37,6 +37,7 @@
 	Fatalf(string, ...any)
 }
 
+// call is a queued call of the store.
 type call struct {
 	do   func(context.Context, Store) error
 	then func(error)
@@ -46,13 +47,14 @@
 type callResult uint8
 
 const (
-	callSucceeds           callResult = iota
-	callFails                         // nothing is done
-	callSucceedsAnswerLost            // all is done, and the answer is lost
+	callSucceeds          callResult = iota
+	callFails                        // the store does nothing
+	callSucceedsReplyLost            // the store executes the call, but the caller gets an error
 )
 
-var errStore = errors.New("the store is away")
+var errStore = errors.New("injected store failure")
 
+// Now implements routing.Clock.
 func (r *fixture) Now() time.Duration { return r.now }
 
 // Call implements StoreExecutor: it queues a call for runStoreCall.
@@ -61,29 +63,31 @@
 	return true
 }
 
-// runStoreCall runs the first queued call of the store. It returns false if there is none.
-func (r *fixture) runStoreCall(how callResult) bool {
+// runStoreCall runs the oldest queued call of the store. It returns false if there is none.
+func (r *fixture) runStoreCall(result callResult) bool {
 	if len(r.calls) == 0 {
 		return false
 	}
 	c := r.calls[0]
 	r.calls = r.calls[1:]
 	err := errStore
-	if how != callFails {
+	if result != callFails {
 		err = c.do(context.Background(), r.store)
 	}
-	if how == callSucceedsAnswerLost {
+	if result == callSucceedsReplyLost {
 		err = errStore
 	}
 	c.then(err)
 	return true
 }
 
+// runStoreCalls runs queued calls of the store until there are none.
 func (r *fixture) runStoreCalls() {
 	for r.runStoreCall(callSucceeds) {
 	}
 }
 
+// advance advances the clock and runs the timers that expire.
 func (r *fixture) advance(span time.Duration) {
 	for end := r.now + span; r.now < end; {
 		at, ok := r.timers.Next()
@@ -95,10 +99,11 @@
 	}
 }
 
-const safe, once = "pruefen", "buchen"
+// Names of the job classes.
+const idempotentClass, nonIdempotentClass = "pruefen", "buchen"
 
 func newFixture(t testingT) *fixture {
-	r := &fixture{t: t, now: 1000 * time.Hour, store: newMemoryStore(), quota: 20_000, classes: map[string]int{safe: 0, once: 1}}
+	r := &fixture{t: t, now: 1000 * time.Hour, store: newMemoryStore(), quota: 20_000, classes: map[string]int{idempotentClass: 0, nonIdempotentClass: 1}}
 	r.settings = balance.Settings{Classes: []balance.Class{{Timeout: 10 * time.Second, Effect: balance.Idempotent},
 		{Timeout: 10 * time.Second, Effect: balance.NonIdempotent}}, ReportFields: []balance.ReportField{balance.FieldBacklog, balance.FieldFreeSlots}}
 	r.store.tenants = []Tenant{{Name: "anna", TokenHash: "a", Quota: r.quota}, {Name: "ben", TokenHash: "b", Quota: 2}}
@@ -107,7 +112,7 @@
 	return r
 }
 
-// start starts the program, or restarts it with the state that the store has.
+// start simulates a start or restart of the program: a new manager loads the stored state.
 func (r *fixture) start() {
 	r.calls, r.timers = nil, timerqueue.Queue{}
 	r.core = &fakeCore{fixture: r, ready: true, ops: map[slottable.Handle]*fakeOp{}}
@@ -128,7 +133,7 @@
 
 func (r *fixture) anna() *TenantState { return r.manager.tenants["anna"] }
 
-// submit submits a job and records it.
+// submit submits a job of tenant anna and runs the calls of the store.
 func (r *fixture) submit(t drmaa.JobTemplate) *Job {
 	r.t.Helper()
 	var got *Job
@@ -142,7 +147,8 @@
 	return got
 }
 
-func (r *fixture) bulk(b drmaa.Bulk) *Array {
+// submitBulk submits a job array of tenant anna and runs the calls of the store.
+func (r *fixture) submitBulk(b drmaa.Bulk) *Array {
 	r.t.Helper()
 	if e := b.Validate(); e != nil {
 		r.t.Fatal(e)
@@ -158,7 +164,7 @@
 	return got
 }
 
-// act performs an action and returns its error.
+// act performs an action on a job, runs the calls of the store and returns the action's error.
 func (r *fixture) act(job *Job, action string) *drmaa.Error {
 	r.t.Helper()
 	var out *drmaa.Error
@@ -166,19 +172,20 @@
 	r.manager.Act(job, action, func(e *drmaa.Error) { out = e; called++ })
 	r.runStoreCalls()
 	if called != 1 {
-		r.t.Fatalf("%s answered %d times", action, called)
+		r.t.Fatalf("callback of action %s called %d times, want once", action, called)
 	}
 	return out
 }
 
-func (r *fixture) state(job *Job, want drmaa.State) {
+// checkState fails the test if a job is not in the wanted state.
+func (r *fixture) checkState(job *Job, want drmaa.State) {
 	r.t.Helper()
 	if job.State != want {
-		r.t.Fatalf("job %s is %s (%s), not %s", job.ID, job.State, job.Reason, want)
+		r.t.Fatalf("job %s: got state %s (%s), want %s", job.ID, job.State, job.Reason, want)
 	}
 }
 
-// fakeCore is a core whose operations end as the test says.
+// fakeCore is a core whose steps and operations the test controls.
 type fakeCore struct {
 	fixture *fixture
 	ops     map[slottable.Handle]*fakeOp
@@ -186,92 +193,97 @@
 	ready   bool
 }
 
+// fakeOp is an operation of fakeCore.
 type fakeOp struct {
 	routing.Operation
-	out   int // steps out
-	gated int // steps before the gate
-	ran   bool
-	begun bool
+	inFlight     int // steps that were sent and have not ended
+	awaitingGate int // steps waiting for BeforeSend
+	mayHaveRun   bool
+	started      bool
 }
 
-func (c *fakeCore) Accept(handle routing.Operation) slottable.Handle {
+func (c *fakeCore) Accept(operation routing.Operation) slottable.Handle {
 	c.last++
-	c.ops[c.last] = &fakeOp{Operation: handle}
+	c.ops[c.last] = &fakeOp{Operation: operation}
 	return c.last
 }
-func (c *fakeCore) Route(slottable.Handle)        {}
-func (c *fakeCore) Withdraw(ref slottable.Handle) { delete(c.ops, ref) }
-func (c *fakeCore) AnyReady() bool                { return c.ready }
-func (c *fakeCore) MayHaveRun(ref slottable.Handle) bool {
-	handle := c.ops[ref]
-	return handle != nil && (handle.ran || handle.out > 0)
+func (c *fakeCore) Route(slottable.Handle)           {}
+func (c *fakeCore) Withdraw(handle slottable.Handle) { delete(c.ops, handle) }
+func (c *fakeCore) AnyReady() bool                   { return c.ready }
+func (c *fakeCore) MayHaveRun(handle slottable.Handle) bool {
+	op := c.ops[handle]
+	return op != nil && (op.mayHaveRun || op.inFlight > 0)
 }
 func (c *fakeCore) EachWorker(f func(balance.WorkerID, balance.State, float64)) {
 	f(1, balance.Ready, 0.25)
 	f(0, balance.Draining, 0)
 }
 
-// of returns a job's operation.
-func (c *fakeCore) of(job *Job) *fakeOp { return c.ops[job.operation] }
+// operationOf returns a job's operation.
+func (c *fakeCore) operationOf(job *Job) *fakeOp { return c.ops[job.operation] }
 
-// step sends a step, once the store has the job as sent.
-func (c *fakeCore) step(job *Job, to balance.WorkerID) { c.stepThen(job, to, func() {}) }
+// beginSend starts to send a step, which is sent once the store has recorded the job as sent.
+func (c *fakeCore) beginSend(job *Job, to balance.WorkerID) { c.beginSendThen(job, to, func() {}) }
 
-func (c *fakeCore) stepThen(job *Job, to balance.WorkerID, out func()) {
-	ref, handle := job.operation, c.of(job)
-	handle.gated++
-	c.fixture.manager.StepSent(ref, to)
-	c.fixture.manager.BeforeSend(ref, func(ok bool) {
-		if c.ops[ref] != handle {
-			return // the step has ended meanwhile
+// beginSendThen is like beginSend and calls onSent after the step was sent.
+func (c *fakeCore) beginSendThen(job *Job, to balance.WorkerID, onSent func()) {
+	handle, op := job.operation, c.operationOf(job)
+	op.awaitingGate++
+	c.fixture.manager.StepSent(handle, to)
+	c.fixture.manager.BeforeSend(handle, func(ok bool) {
+		if c.ops[handle] != op {
+			return // the operation has ended or was withdrawn
 		}
-		handle.gated--
+		op.awaitingGate--
 		if !ok {
-			c.fixture.manager.StepEnded(ref, to, balance.NotSent)
+			c.fixture.manager.StepEnded(handle, to, balance.NotSent)
 			return
 		}
-		handle.out++
-		out()
+		op.inFlight++
+		onSent()
 	})
 }
 
-// sent sends a step at once.
-func (c *fakeCore) sent(job *Job, to balance.WorkerID) {
-	c.step(job, to)
+// sendStep sends a step and runs the calls of the store, so that it is sent before sendStep returns.
+func (c *fakeCore) sendStep(job *Job, to balance.WorkerID) {
+	c.beginSend(job, to)
 	c.fixture.runStoreCalls()
 }
 
-func (c *fakeCore) begin(job *Job, at balance.WorkerID) {
-	c.of(job).begun = true
+// startStep reports that a worker has started a step.
+func (c *fakeCore) startStep(job *Job, at balance.WorkerID) {
+	c.operationOf(job).started = true
 	c.fixture.manager.Started(job.operation, at)
 	c.fixture.manager.StartDelay(c.fixture.manager, 0)
 }
 
-func (c *fakeCore) stepDone(job *Job, at balance.WorkerID, how balance.Outcome) {
-	handle := c.of(job)
-	handle.out--
-	handle.ran = handle.ran || !how.NeverRan()
-	c.fixture.manager.StepEnded(job.operation, at, how)
+// endStep reports the outcome of a step.
+func (c *fakeCore) endStep(job *Job, at balance.WorkerID, outcome balance.Outcome) {
+	op := c.operationOf(job)
+	op.inFlight--
+	op.mayHaveRun = op.mayHaveRun || !outcome.NeverRan()
+	c.fixture.manager.StepEnded(job.operation, at, outcome)
 }
 
+// answer ends a job's operation with a final answer.
 func (c *fakeCore) answer(job *Job, a routing.Answer) {
-	ref := job.operation
-	a.MayHaveRun = c.MayHaveRun(ref)
-	delete(c.ops, ref)
-	c.fixture.manager.Answered(ref, a)
+	handle := job.operation
+	a.MayHaveRun = c.MayHaveRun(handle)
+	delete(c.ops, handle)
+	c.fixture.manager.Answered(handle, a)
 	c.fixture.manager.OperationConcluded(c.fixture.manager, a.Verdict)
 }
 
-// serve runs a job to its end at a worker.
+// serve runs a job at worker 0 until it is done.
 func (c *fakeCore) serve(job *Job) {
-	c.sent(job, 0)
-	c.begin(job, 0)
-	c.stepDone(job, 0, balance.Served)
+	c.sendStep(job, 0)
+	c.startStep(job, 0)
+	c.endStep(job, 0, balance.Served)
 	c.answer(job, routing.Answer{Verdict: routing.Served, Result: []byte("fine")})
 	c.fixture.runStoreCalls()
 }
 
-// memoryStore is a store of record in memory.
+// memoryStore is an in-memory Store.
 type memoryStore struct {
 	tenants  []Tenant
 	sessions map[[2]string]string
@@ -338,9 +350,9 @@
 }
 
 func (s *memoryStore) Update(_ context.Context, updates []RecordUpdate) error {
-	for _, k := range updates {
-		if r := s.jobs[k.ID]; r.EndedAt == 0 {
-			r.Sent, r.Held = k.Sent, k.Held
+	for _, update := range updates {
+		if r := s.jobs[update.ID]; r.EndedAt == 0 {
+			r.Sent, r.Held = update.Sent, update.Held
 		}
 	}
 	return nil
@@ -358,9 +370,9 @@
 	return nil
 }
 
-func (s *memoryStore) Reap(_ context.Context, what ReapSelector) (n int, err error) {
+func (s *memoryStore) Reap(_ context.Context, selector ReapSelector) (n int, err error) {
 	for id, r := range s.jobs {
-		if r.EndedAt > 0 && !s.reaped[id] && (what.Array != "" && r.Array == what.Array || slices.Contains(what.IDs, id)) {
+		if r.EndedAt > 0 && !s.reaped[id] && (selector.Array != "" && r.Array == selector.Array || slices.Contains(selector.IDs, id)) {
 			s.reaped[id] = true
 			n++
 		}
@@ -400,12 +412,12 @@
 	return out
 }
 
-func (s *memoryStore) Jobs(_ context.Context, tenant, session string, f drmaa.Filter, most int) ([]*Record, error) {
+func (s *memoryStore) Jobs(_ context.Context, tenant, session string, f drmaa.Filter, limit int) ([]*Record, error) {
 	all := s.all(func(r *Record) bool {
 		older := f.Before == drmaa.Cursor{} || r.Seq < f.Before.Seq || r.Seq == f.Before.Seq && r.ID > f.Before.ID
 		return r.Tenant == tenant && (session == "" || r.Session == session) && older
 	})
-	return all[:min(len(all), most)], nil
+	return all[:min(len(all), limit)], nil
 }
 
 func (s *memoryStore) AnyEnded(_ context.Context, tenant, session, array string) (*Record, error) {
@@ -418,13 +430,13 @@
 	return all[0], nil
 }
 
-func (s *memoryStore) Undecided(_ context.Context, classes []string, after drmaa.Cursor, most int) ([]*Record, error) {
+func (s *memoryStore) Undecided(_ context.Context, classes []string, after drmaa.Cursor, limit int) ([]*Record, error) {
 	all := s.all(func(r *Record) bool {
 		return r.State == drmaa.Failed && r.MayHaveRun && r.Settled.At == 0 && r.ExitStatus < 0 && slices.Contains(classes, r.Template.RemoteCommand) &&
 			(r.Seq > after.Seq || r.Seq == after.Seq && r.ID > after.ID)
 	})
 	slices.Reverse(all)
-	return all[:min(len(all), most)], nil
+	return all[:min(len(all), limit)], nil
 }
 
 func (s *memoryStore) Settle(_ context.Context, id string, v Settlement) (bool, error) {
--- a/internal/node/batch/jobs/job.go
+++ b/internal/node/batch/jobs/job.go
@@ -12,13 +12,13 @@
 	"ospreybend/internal/node/timerqueue"
 )
 
-// stage is how far a job has come within the node.
+// stage is the progress of a job within the node.
 type stage uint8
 
 const (
-	unscheduled stage = iota // held, before its start time, backing off, or beyond its array's limit
+	unscheduled stage = iota // held, before its start time, backing off, or over its array's MaxParallel
 	queued                   // in the queue
-	inCore
+	inCore                   // an operation of the core
 	ended
 )
 
@@ -29,24 +29,24 @@
 	session           *Session
 	array             *Array
 	stage             stage
-	recorded          bool // in the store
-	sendRecorded      bool // the store has it as sent, or that is being written
-	ending            bool // its final state is decided, and being written
-	terminateOnRecord bool // Terminate was called before it was recorded
-	countedActive     bool // among its array's active jobs
+	recorded          bool // stored
+	sendRecorded      bool // the store has the job as sent, or the write is in progress
+	ending            bool // its final state is decided and being stored
+	terminateOnRecord bool // Terminate was called before the job was stored
+	countedActive     bool // counted in its array's active jobs
 	operation         slottable.Handle
-	attempts          int // operations of it so far
-	refusals          int // in a row
-	failures          int // operations that failed at a prep worker
-	stepFailed        bool
-	failedSteps       int // of this operation
-	notBefore         time.Duration
-	wake              *timerqueue.Timer // when it may be queued
-	deadline          *timerqueue.Timer
-	retryAfter        time.Duration      // of the last refusal
-	pending           *pendingSubmission // while it is being recorded
+	attempts          int                // operations started so far
+	refusals          int                // refusals by the core so far
+	failures          int                // refused operations with a step that failed at a prep worker
+	stepFailed        bool               // a step of the current operation failed at a prep worker
+	failedSteps       int                // steps of the current operation that failed at a prep worker
+	notBefore         time.Duration      // end of the backoff after a refusal
+	wake              *timerqueue.Timer  // fires when the job may be queued
+	deadline          *timerqueue.Timer  // fails the job while it is not in the core
+	retryAfter        time.Duration      // delay before a retry after the last refusal
+	pending           *pendingSubmission // non-nil while the submission is being stored
 	waiters           waiters
-	final             *Record // the final record, until it is written
+	final             *Record // the final record, until it has been stored
 }
 
 func (job *Job) slots() float64 { return job.Template.Slots() }
@@ -65,23 +65,23 @@
 	session        *Session
 	recorded       bool
 	pending        *pendingSubmission
-	unfinishedJobs map[int]*Job // unfinished jobs by index
+	unfinishedJobs map[int]*Job // by index
 	states         map[drmaa.State]int
-	active         int                // jobs in the queue or beyond it
-	waiting        *queue.Queue[*Job] // jobs beyond MaxParallel
+	active         int                // jobs in the queue or in the core
+	waiting        *queue.Queue[*Job] // jobs over MaxParallel
 
 	unfinished      int
-	anyWaiters      waiters // any of its jobs
-	allEndedWaiters waiters // all of them
+	anyWaiters      waiters // wait for any of its jobs
+	allEndedWaiters waiters // wait for the end of all its jobs
 }
 
-// newArray returns an array in memory without jobs.
+// newArray returns an array that has no jobs yet.
 func newArray(r ArrayRecord, recorded bool) *Array {
 	return &Array{ArrayRecord: r, recorded: recorded, unfinishedJobs: map[int]*Job{}, states: map[drmaa.State]int{},
 		waiting: queue.New[*Job]()}
 }
 
-// indexText returns the index of an array's job; "" for a single job.
+// indexText returns the index of a job within its array, or "" for a single job.
 func indexText(job *Record) string {
 	if job.Array == "" {
 		return ""
@@ -103,16 +103,17 @@
 	}
 }
 
-// rememberKey records what a client key stands for.
-func (m *Manager) rememberKey(k submissionRef, tenant, key string) {
+// rememberKey records the submission that uses a client key, if there is a key.
+func (m *Manager) rememberKey(ref submissionRef, tenant, key string) {
 	if key != "" {
-		m.byKey[keyOf(tenant, key)] = k
+		m.byKey[keyOf(tenant, key)] = ref
 	}
 }
 
+// keyOf returns the key of Manager.byKey for a tenant's client key.
 func keyOf(tenant, clientKey string) string { return tenant + "\x00" + clientKey }
 
-// untrack removes a job that has ended, or was not recorded, from the unfinished ones.
+// untrack removes a job that has ended, or was not stored, from the unfinished jobs.
 func (m *Manager) untrack(job *Job) {
 	job.owner.unfinished--
 	delete(job.session.jobs, job)
@@ -125,7 +126,7 @@
 	}
 }
 
-// forget removes a job from memory. The store has it, unless it was not recorded.
+// forget removes a job from memory. If it was stored, it can still be read from the store.
 func (m *Manager) forget(job *Job) {
 	if m.jobs[job.ID] == job {
 		delete(m.jobs, job.ID)
@@ -145,8 +146,8 @@
 	}
 }
 
-// transition changes a job's state and publishes the event. A transition that the standard's
-// model lacks is a defect: it is counted and logged.
+// transition changes a job's state and publishes the event. A transition that the state model of
+// DRMAA does not allow is a defect: it is counted and logged.
 func (m *Manager) transition(job *Job, to drmaa.State) {
 	if job.State == to {
 		return
@@ -163,30 +164,30 @@
 	m.publish(job, drmaa.NewState, "")
 }
 
-// startDeadline fails the job if its deadline passes while it waits. In the core the core
-// does that.
+// startDeadline starts a timer that fails the job if its deadline passes while it waits outside the
+// core. The core itself enforces the deadline of an operation.
 func (m *Manager) startDeadline(job *Job) {
 	job.deadline = m.timers.Add(time.Duration(job.DeadlineAt)*time.Microsecond, func() {
 		job.deadline = nil
-		if job.stage != inCore { // from there it is scheduled again
+		if job.stage != inCore { // a job that leaves the core without ending is scheduled again, which checks the deadline
 			m.endJob(job, drmaa.Failed, m.deadlineReason(job), job.MayHaveRun)
 		}
 	})
 }
 
-// deadlineReason returns the reason of a job that fails by its deadline.
+// deadlineReason returns the reason recorded for a job whose deadline has passed.
 func (m *Manager) deadlineReason(job *Job) string {
 	switch {
 	case job.MayHaveRun:
 		return "its deadline passed"
 	case job.retryAfter > 0:
-		return "refused until its deadline; it never ran; a new one may be taken after " + job.retryAfter.String()
+		return "refused until its deadline; it never ran; a new submission may be accepted after " + job.retryAfter.String()
 	}
 	return "its deadline passed while it waited; it never ran"
 }
 
-// schedule queues a waiting job, or leaves it unscheduled until its release, its start time or
-// backoff, or a place within its array's MaxParallel.
+// schedule queues a waiting job. It leaves the job unscheduled while it is held, until its start
+// time and the end of its backoff, or while its array has MaxParallel active jobs.
 func (m *Manager) schedule(job *Job) {
 	if !job.recorded || job.ending || job.stage == inCore {
 		return
@@ -195,7 +196,7 @@
 	now := m.clock.Now()
 	if job.DeadlineAt > 0 && job.deadline == nil {
 		if now >= time.Duration(job.DeadlineAt)*time.Microsecond {
-			m.endJob(job, drmaa.Failed, m.deadlineReason(job), job.MayHaveRun) // it passed before the job was scheduled
+			m.endJob(job, drmaa.Failed, m.deadlineReason(job), job.MayHaveRun) // the deadline passed before the job was scheduled
 			return
 		}
 		m.startDeadline(job)
@@ -221,8 +222,8 @@
 	}
 }
 
-// unschedule removes a job from the queue and ends its waiting. Its place among its array's
-// active jobs goes to the next.
+// unschedule removes a job from the queue and cancels its wake-up timer. If the job was active in
+// its array, the array's next waiting job is scheduled instead.
 func (m *Manager) unschedule(job *Job) {
 	m.timers.Cancel(job.wake)
 	job.wake = nil
@@ -248,7 +249,7 @@
 	}
 }
 
-// View returns a job as its client sees it now.
+// View returns the current state of a job in the form of the API.
 func (m *Manager) View(job *Job) *drmaa.Job {
 	v := job.view()
 	v.SubmissionMachine = m.config.Machine
@@ -261,10 +262,10 @@
 	return v
 }
 
-// view returns a job as its client sees it, by its record alone.
+// view returns a job in the form of the API, from its record alone.
 func (r *Record) view() *drmaa.Job {
 	t := *r.Template
-	t.Input = "" // it may be large, and the client has it
+	t.Input = "" // omitted: it may be large, and the client has it
 	v := &drmaa.Job{ID: r.ID, Name: t.JobName, Session: r.Session, Owner: r.Tenant, State: r.State, SubState: r.Reason, Template: &t,
 		Slots: t.Slots(), Queue: t.RemoteCommand, Submitted: drmaa.Stamp(r.SubmittedAt),
 		Dispatched: drmaa.Stamp(r.DispatchedAt), MayHaveRun: r.MayHaveRun, Array: r.Array, Index: r.Index}
@@ -297,7 +298,7 @@
 	return v
 }
 
-// ViewArray returns an array as its client sees it now.
+// ViewArray returns the current state of an array in the form of the API.
 func (m *Manager) ViewArray(a *Array) *drmaa.Array {
 	t := *a.Template
 	t.Input = ""
--- a/internal/node/batch/jobs/lookup.go
+++ b/internal/node/batch/jobs/lookup.go
@@ -6,10 +6,10 @@
 	"ospreybend/drmaa"
 )
 
-const maxScans = 16 // reads of the store for one page
+const maxScans = 16 // maximum reads of the store for one page
 
-// callStore makes a call of the store and calls done on the loop with its result, or with the
-// error of a store that failed (StoreFailed) or whose queue is full (StoreBehind).
+// callStore runs call off the loop and calls done on the loop with its result, or with StoreFailed
+// if call failed. If the queue of calls is full, it calls done immediately with StoreBehind.
 func callStore[T any](m *Manager, call func(context.Context, Store) (T, error), done func(T, *drmaa.Error)) {
 	var result, none T
 	if !m.store.Call(func(ctx context.Context, store Store) (err error) {
@@ -34,19 +34,19 @@
 	return nil, UnknownSession
 }
 
-// Find calls got with a tenant's job, from memory or from the store. A job of another tenant, or
-// a reaped one, is unknown.
-func (m *Manager) Find(t *TenantState, session, id string, got func(*Job, *drmaa.Error)) {
+// Find calls done with a tenant's job, from memory or from the store. The error is UnknownJob if the
+// job belongs to another tenant or has been reaped.
+func (m *Manager) Find(t *TenantState, session, id string, done func(*Job, *drmaa.Error)) {
 	if _, e := m.Session(t, session); e != nil {
-		got(nil, e)
+		done(nil, e)
 		return
 	}
 	check := func(job *Job) {
 		if job == nil || job.Tenant != t.Name || job.Session != session || !job.recorded {
-			got(nil, UnknownJob)
+			done(nil, UnknownJob)
 			return
 		}
-		got(job, nil)
+		done(job, nil)
 	}
 	if job := m.jobs[id]; job != nil {
 		check(job)
@@ -58,7 +58,7 @@
 	}, func(record *Record, e *drmaa.Error) {
 		switch {
 		case e != nil:
-			got(nil, e)
+			done(nil, e)
 		case record == nil:
 			check(nil)
 		default:
@@ -67,36 +67,36 @@
 	})
 }
 
-// FindAll is Find for several jobs. An unknown one is an error of the call.
-func (m *Manager) FindAll(t *TenantState, session string, ids []string, got func([]*Job, *drmaa.Error)) {
+// FindAll is like Find for several jobs. If one of them is unknown, the whole call fails.
+func (m *Manager) FindAll(t *TenantState, session string, ids []string, done func([]*Job, *drmaa.Error)) {
 	out := make([]*Job, len(ids))
-	left := len(ids)
-	var fault *drmaa.Error
+	remaining := len(ids)
+	var failure *drmaa.Error
 	for i, id := range ids {
 		m.Find(t, session, id, func(job *Job, e *drmaa.Error) {
 			out[i] = job
-			if e != nil && fault == nil {
-				fault = e
+			if e != nil && failure == nil {
+				failure = e
 			}
-			if left--; left == 0 {
-				got(out, fault)
+			if remaining--; remaining == 0 {
+				done(out, failure)
 			}
 		})
 	}
 }
 
-// FindArray is Find for a job array.
-func (m *Manager) FindArray(t *TenantState, session, id string, got func(*Array, *drmaa.Error)) {
+// FindArray is like Find for a job array.
+func (m *Manager) FindArray(t *TenantState, session, id string, done func(*Array, *drmaa.Error)) {
 	if _, e := m.Session(t, session); e != nil {
-		got(nil, e)
+		done(nil, e)
 		return
 	}
 	check := func(a *Array) {
 		if a == nil || a.Tenant != t.Name || a.Session != session || !a.recorded {
-			got(nil, UnknownArray)
+			done(nil, UnknownArray)
 			return
 		}
-		got(a, nil)
+		done(a, nil)
 	}
 	if a := m.arrays[id]; a != nil {
 		check(a)
@@ -108,7 +108,7 @@
 	}, func(record *ArrayRecord, e *drmaa.Error) {
 		switch {
 		case e != nil:
-			got(nil, e)
+			done(nil, e)
 		case record == nil:
 			check(nil)
 		default:
@@ -117,29 +117,29 @@
 	})
 }
 
-// List calls got with one page of a tenant's jobs, newest first; an empty session means all
-// sessions, an empty tenant all tenants. The store selects by all but the state, which may be
-// newer in memory.
-func (m *Manager) List(tenant, session string, f drmaa.Filter, got func(*drmaa.Page, *drmaa.Error)) {
+// List calls done with one page of a tenant's jobs, newest first. An empty session means all
+// sessions, an empty tenant all tenants. The states are filtered here, since a job's state may be
+// newer in memory than in the store.
+func (m *Manager) List(tenant, session string, f drmaa.Filter, done func(*drmaa.Page, *drmaa.Error)) {
 	page := &drmaa.Page{Jobs: []*drmaa.Job{}}
-	m.scan(tenant, session, f, page, maxScans, got)
+	m.scan(tenant, session, f, page, maxScans, done)
 }
 
-// scan appends the matching jobs of one read of the store to a page, and reads on until the page
-// is full, the list ends or no scans are left.
-func (m *Manager) scan(tenant, session string, filter drmaa.Filter, page *drmaa.Page, scans int, got func(*drmaa.Page, *drmaa.Error)) {
+// scan appends the matching jobs of one read of the store to a page, and continues until the page
+// is full, the list ends or the number of reads reaches scans.
+func (m *Manager) scan(tenant, session string, filter drmaa.Filter, page *drmaa.Page, scans int, done func(*drmaa.Page, *drmaa.Error)) {
 	limit := drmaa.MaxListed + 1
 	callStore(m, func(ctx context.Context, store Store) ([]*Record, error) {
 		return store.Jobs(ctx, tenant, session, filter, limit)
 	}, func(rows []*Record, e *drmaa.Error) {
 		if e != nil {
-			got(nil, e)
+			done(nil, e)
 			return
 		}
 		for _, r := range rows {
 			if len(page.Jobs) == filter.Limit {
 				page.Next = filter.Before.String()
-				got(page, nil)
+				done(page, nil)
 				return
 			}
 			filter.Before = drmaa.Cursor{Seq: r.Seq, ID: r.ID}
@@ -153,12 +153,12 @@
 		}
 		switch {
 		case len(rows) < limit:
-			got(page, nil)
+			done(page, nil)
 		case scans <= 1:
-			page.Next = filter.Before.String() // an incomplete page, with more to follow
-			got(page, nil)
+			page.Next = filter.Before.String() // the page is not full, but more jobs may follow
+			done(page, nil)
 		default:
-			m.scan(tenant, session, filter, page, scans-1, got)
+			m.scan(tenant, session, filter, page, scans-1, done)
 		}
 	})
 }
--- a/internal/node/batch/jobs/manager.go
+++ b/internal/node/batch/jobs/manager.go
@@ -21,17 +21,17 @@
 )
 
 const (
-	maxEndedArrays    = 200                    // ended arrays in memory; Config.MaxEndedJobs is that of jobs
-	storeRetryDelay   = time.Second            // before a failed write is retried
-	storeStallTime    = 500 * time.Millisecond // without progress for longer the store is stalled
-	defaultRetryAfter = time.Second            // Retry-After where nothing better is known
-	minRequeueDelay   = 100 * time.Millisecond // backoff of a job that the core refused, at first
-	maxRequeueDelay   = 10 * time.Second       // and at most, unless the core advises a longer one
-	readyPollInterval = 100 * time.Millisecond // between two looks for a ready destination
+	maxEndedArrays    = 200                    // maximum ended arrays in memory; see Config.MaxEndedJobs for jobs
+	storeRetryDelay   = time.Second            // delay before a failed write is retried
+	storeStallTime    = 500 * time.Millisecond // a store without progress for this long counts as stalled
+	defaultRetryAfter = time.Second            // Retry-After without a better estimate
+	minRequeueDelay   = 100 * time.Millisecond // first backoff of a job that the core refused
+	maxRequeueDelay   = 10 * time.Second       // maximum backoff, unless the core advises a longer one
+	readyPollInterval = 100 * time.Millisecond // interval between checks for a ready destination
 )
 
-// Manager has the jobs, arrays, sessions and tenants of the batch front. All of it belongs to
-// the event loop.
+// Manager manages the jobs, arrays, sessions and tenants of the batch front. It must be used on the
+// event loop only.
 type Manager struct {
 	config  Config
 	classes map[string]drmaa.Class
@@ -41,7 +41,7 @@
 	clock   routing.Clock
 	timers  *timerqueue.Queue
 
-	// The state in memory: unfinished jobs and arrays, and those that ended last.
+	// State in memory: unfinished jobs and arrays, and those that ended most recently.
 	tenants     map[string]*TenantState // by name
 	byToken     map[string]*TenantState // by the token's hash
 	jobs        map[string]*Job
@@ -55,30 +55,30 @@
 	// Dispatch of queued jobs to the core.
 	queue           *queue.Queue[*Job]
 	window          *window.Window
-	launchScheduled bool // launchQueued is called again at a time that is set
-	launching       bool // within launchQueued
-	stopping        bool // no further submissions or dispatches
+	launchScheduled bool // a timer will call launchQueued
+	launching       bool // launchQueued is running; guards against recursion
+	stopping        bool // accept and dispatch no further jobs
 
 	// Writes to the store.
 	inserts             batchWriter[*pendingSubmission]
 	updates             batchWriter[*change]
 	finals              batchWriter[*Job]
-	pendingSubmissions  map[*pendingSubmission]bool // being recorded
+	pendingSubmissions  map[*pendingSubmission]bool // not stored yet
 	finalsToRetry       int                         // final states whose write failed and will be retried
 	stallCheckScheduled bool
 
-	// Clients that wait, and event streams.
+	// Waiting clients and event streams.
 	openWaits   int
-	streamEpoch string             // names this run of the program in cursors
+	streamEpoch string             // identifies this run of the program in cursors
 	streams     map[string]*stream // by tenant
 
 	// Monitoring.
 	loadReports     map[balance.WorkerID]*loadReport
-	freeSlotsField  int // index of the free slots in load reports; below 0: none
-	modelViolations int // state transitions that the standard's model lacks
+	freeSlotsField  int // index of the free slots in load reports; negative if they are not reported
+	modelViolations int // state transitions that the state model of DRMAA does not allow
 }
 
-// submissionRef is what a client key stands for: a job or an array.
+// submissionRef refers to a submission by its job or its array. The zero value refers to none.
 type submissionRef struct {
 	job   *Job
 	array *Array
@@ -99,10 +99,10 @@
 	SessionRecord
 	jobs             map[*Job]bool // unfinished ones
 	waiters          waiters
-	destroyCallbacks []func(*drmaa.Error) // of DestroySession
+	destroyCallbacks []func(*drmaa.Error) // pending callbacks of DestroySession
 
-	recorded bool // in the store
-	removing bool // its removal is being written
+	recorded bool // stored
+	removing bool // its removal is being stored
 }
 
 // New returns a manager. Load must be called before any other method.
@@ -131,8 +131,8 @@
 	return m
 }
 
-// Reconfigure changes the settings that take effect while the front runs: the window's bounds,
-// the longest wait of further jobs and the events retained.
+// Reconfigure changes the settings that can change at run time: Config.MaxSlots, DelayTarget,
+// MaxWait (for jobs submitted from now on) and MaxEvents.
 func (m *Manager) Reconfigure(slots float64, target, longest time.Duration, events int) {
 	m.config.MaxSlots, m.config.DelayTarget, m.config.MaxWait, m.config.MaxEvents = slots, target, longest, events
 	m.window.Reconfigure(window.Config{MaxSlots: slots, DelayTarget: target})
@@ -154,9 +154,9 @@
 	return hex.EncodeToString(b[:])
 }
 
-// Load restores the state that the last run of the program has left in the store. A job that
-// may have run and is non-idempotent fails; the others wait in their old order, held ones held,
-// until their deadline.
+// Load restores the state that the previous run of the program stored. A non-idempotent job that
+// may have run fails, as does a job whose deadline has passed. The other jobs are scheduled in their
+// previous order; held jobs remain held.
 func (m *Manager) Load(tenants []Tenant, sessions []SessionRecord, records []*Record, arrays []*ArrayRecord) {
 	for _, t := range tenants {
 		m.PutTenant(t)
@@ -176,7 +176,7 @@
 	}
 }
 
-// restoreSessions restores sessions from their records, and returns those whose destruction has begun.
+// restoreSessions restores sessions from their records and returns those being destroyed.
 func (m *Manager) restoreSessions(records []SessionRecord) (destroying []*Session) {
 	for _, r := range records {
 		t := m.tenants[r.Tenant]
@@ -192,8 +192,8 @@
 	return destroying
 }
 
-// restoreArray restores an array from its record, with the counts of its ended jobs: the others
-// are counted as they are restored.
+// restoreArray restores an array from its record, with the counts of its ended jobs. Unfinished jobs
+// are counted when they are restored.
 func (m *Manager) restoreArray(record *ArrayRecord) {
 	array := newArray(*record, true)
 	for state, count := range record.States {
@@ -209,7 +209,7 @@
 func (m *Manager) restoreJob(record *Record) {
 	owner := m.tenants[record.Tenant]
 	if owner == nil {
-		slog.Error("batch job of no tenant", "id", record.ID, "tenant", record.Tenant)
+		slog.Error("batch job belongs to an unknown tenant; not restored", "id", record.ID, "tenant", record.Tenant)
 		return
 	}
 	job := &Job{Record: *record, owner: owner, session: owner.session(record.Session), array: m.arrays[record.Array], recorded: true,
@@ -226,7 +226,7 @@
 	class, known := m.classes[record.Template.RemoteCommand]
 	switch {
 	case !known:
-		m.endJob(job, drmaa.Failed, "the class is gone", record.Sent)
+		m.endJob(job, drmaa.Failed, "the job's class is no longer configured", record.Sent)
 	case record.Sent && class.NonIdempotent:
 		m.endJob(job, drmaa.Failed, "the node restarted; the job may have run and is not run again", true)
 	default:
@@ -234,7 +234,7 @@
 	}
 }
 
-// PutTenant adds a tenant, or changes one.
+// PutTenant adds or changes a tenant.
 func (m *Manager) PutTenant(in Tenant) *TenantState {
 	t := m.tenants[in.Name]
 	if t == nil {
@@ -247,7 +247,7 @@
 	return t
 }
 
-// Tenant returns the tenant of a name, or nil.
+// Tenant returns the tenant with the given name, or nil.
 func (m *Manager) Tenant(name string) *TenantState { return m.tenants[name] }
 
 // Tenants returns all tenants, sorted by name.
@@ -259,10 +259,10 @@
 	return out
 }
 
-// ByToken returns the tenant whose token has the hash, or nil.
+// ByToken returns the tenant whose token has the given hash, or nil.
 func (m *Manager) ByToken(hash string) *TenantState { return m.byToken[hash] }
 
-// session returns a tenant's session, which is created closed if it does not exist.
+// session returns a tenant's session. If it does not exist, it is created in state closed.
 func (t *TenantState) session(name string) *Session {
 	s := t.sessions[name]
 	if s == nil {
@@ -272,14 +272,14 @@
 	return s
 }
 
-// Stop ends the acceptance and the dispatch of jobs.
+// Stop stops the acceptance and dispatch of jobs.
 func (m *Manager) Stop() { m.stopping = true }
 
 // Stopping reports whether Stop or EndWaits was called.
 func (m *Manager) Stopping() bool { return m.stopping }
 
-// EndWaits stops the manager and ends all waits with TryLater: their clients may wait again
-// elsewhere, or later.
+// EndWaits stops the manager and ends all waits with TryLater, so that clients retry at another node
+// or later.
 func (m *Manager) EndWaits() {
 	m.stopping = true
 	e := drmaa.TryLaterError(defaultRetryAfter, "the node is stopping")
@@ -312,7 +312,7 @@
 	return len(m.byOperation) + m.inserts.pending() + m.updates.pending() + m.finals.pending() + m.finalsToRetry
 }
 
-// IDs returns the IDs of the jobs in memory, in the order of their submission.
+// IDs returns the IDs of the jobs in memory, in submission order.
 func (m *Manager) IDs() []string {
 	all := slices.SortedFunc(maps.Values(m.jobs), func(a, b *Job) int { return cmp.Compare(a.Seq, b.Seq) })
 	out := make([]string, len(all))
@@ -322,18 +322,18 @@
 	return out
 }
 
-// Counts is the state of the batch front in numbers.
+// Counts holds the counters and gauges of the batch front.
 type Counts struct {
 	Unfinished int                  `json:"unfinished"` // jobs
-	Queued     int                  `json:"queued"`     // not in the core yet
+	Queued     int                  `json:"queued"`     // jobs in the queue
 	InCore     int                  `json:"inCore"`
 	Store      circuitbreaker.State `json:"store"`
-	Rejected   uint64               `json:"turnedAway"` // submissions, because the store did not answer
-	Waits      int                  `json:"waits"`      // of clients
+	Rejected   uint64               `json:"turnedAway"` // submissions rejected because the store did not answer
+	Waits      int                  `json:"waits"`      // clients that wait
 	Window     window.State         `json:"window"`
 }
 
-// Counts returns the state of the batch front in numbers.
+// Counts returns the current counters and gauges.
 func (m *Manager) Counts() Counts {
 	c := Counts{Store: m.circuit.State(m.clock.Now()), Rejected: m.circuit.Rejected(), Queued: m.queue.Len(), InCore: len(m.byOperation), Waits: m.openWaits, Window: m.window.State()}
 	for _, t := range m.tenants {
@@ -342,16 +342,16 @@
 	return c
 }
 
-// monitoredStore reports the calls of a StoreExecutor to the circuit breaker.
+// monitoredStore is a StoreExecutor that reports its calls to the circuit breaker.
 type monitoredStore struct {
 	StoreExecutor
 	manager *Manager
 }
 
 // Call implements StoreExecutor.
-func (w *monitoredStore) Call(do func(context.Context, Store) error, then func(error)) bool {
-	m := w.manager
-	taken := w.StoreExecutor.Call(do, func(err error) {
+func (s *monitoredStore) Call(do func(context.Context, Store) error, then func(error)) bool {
+	m := s.manager
+	accepted := s.StoreExecutor.Call(do, func(err error) {
 		before := m.circuit.State(m.clock.Now())
 		m.circuit.CallEnded(m.clock.Now(), err != nil)
 		if after := m.circuit.State(m.clock.Now()); after != before {
@@ -359,15 +359,15 @@
 		}
 		then(err)
 	})
-	if taken {
+	if accepted {
 		m.circuit.CallBegan(m.clock.Now())
 		m.checkStall()
 	}
-	return taken
+	return accepted
 }
 
-// checkStall checks for a stall of the store as long as it has calls in flight, and rejects the
-// submissions that wait for it.
+// checkStall checks periodically for a stall of the store while calls are in flight, and rejects the
+// pending submissions if it has stalled.
 func (m *Manager) checkStall() {
 	if m.stallCheckScheduled || m.circuit.InFlight() == 0 {
 		return
@@ -382,50 +382,50 @@
 	})
 }
 
-// StoreExecutor returns the access to the store, for calls of the administration.
+// StoreExecutor returns the executor of store calls, for the admin API.
 func (m *Manager) StoreExecutor() StoreExecutor { return m.store }
 
-// batchWriter groups the writes of one kind into batches: items added while a call of the store
-// is in flight go with the next. write is called off the loop, so that the fields that it reads
-// must not change; done is called on the loop with the result.
+// batchWriter groups writes of one kind into batches: items added while a write is in flight go into
+// the next batch. write is called off the loop, so the loop must not change the fields that it
+// reads; done is called on the loop with the result.
 type batchWriter[T any] struct {
 	manager  *Manager
-	maxBatch int // items of one batch
+	maxBatch int // maximum items per batch
 	write    func(context.Context, Store, []T) error
 	done     func([]T, error)
 	waiting  []T
-	inFlight int  // items of the batch that is being written
-	paused   bool // the store's queue was full
+	inFlight int  // items of the batch being written
+	paused   bool // the queue of store calls was full; a timer will retry
 }
 
-func (p *batchWriter[T]) pending() int { return len(p.waiting) + p.inFlight }
+func (w *batchWriter[T]) pending() int { return len(w.waiting) + w.inFlight }
 
-func (p *batchWriter[T]) add(items ...T) {
-	p.waiting = append(p.waiting, items...)
-	p.flush()
+func (w *batchWriter[T]) add(items ...T) {
+	w.waiting = append(w.waiting, items...)
+	w.flush()
 }
 
-func (p *batchWriter[T]) flush() {
-	if p.inFlight > 0 || p.paused || len(p.waiting) == 0 {
+func (w *batchWriter[T]) flush() {
+	if w.inFlight > 0 || w.paused || len(w.waiting) == 0 {
 		return
 	}
-	n := min(len(p.waiting), p.maxBatch)
-	batch := slices.Clone(p.waiting[:n])
-	if !p.manager.store.Call(func(ctx context.Context, store Store) error { return p.write(ctx, store, batch) },
+	n := min(len(w.waiting), w.maxBatch)
+	batch := slices.Clone(w.waiting[:n])
+	if !w.manager.store.Call(func(ctx context.Context, store Store) error { return w.write(ctx, store, batch) },
 		func(err error) {
-			p.inFlight = 0
-			p.done(batch, err)
-			p.flush()
+			w.inFlight = 0
+			w.done(batch, err)
+			w.flush()
 		}) {
-		p.paused = true
-		p.manager.timers.Add(p.manager.clock.Now()+storeRetryDelay, func() {
-			p.paused = false
-			p.flush()
+		w.paused = true
+		w.manager.timers.Add(w.manager.clock.Now()+storeRetryDelay, func() {
+			w.paused = false
+			w.flush()
 		})
 		return
 	}
-	p.inFlight = n
-	if p.waiting = p.waiting[n:]; len(p.waiting) == 0 {
-		p.waiting = nil
+	w.inFlight = n
+	if w.waiting = w.waiting[n:]; len(w.waiting) == 0 {
+		w.waiting = nil
 	}
 }
--- a/internal/node/batch/jobs/monitor.go
+++ b/internal/node/batch/jobs/monitor.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	maxReportAge = 10 * time.Second // an older load report is not shown
-	maxMachines  = 20_000           // destinations whose last report is kept
+	maxReportAge = 10 * time.Second // older load reports are not shown
+	maxMachines  = 20_000           // maximum destinations whose last report is kept
 )
 
-// loadReport is the last load report of a destination.
+// loadReport is the latest load report of a destination.
 type loadReport struct {
 	freeSlots float64
 	at        time.Duration
@@ -24,45 +24,45 @@
 // LoadReported implements routing.LoadObserver: it records a destination's free slots.
 func (m *Manager) LoadReported(to balance.WorkerID, report []float32) {
 	if m.freeSlotsField < 0 || m.freeSlotsField >= len(report) || report[m.freeSlotsField] != report[m.freeSlotsField] {
-		return
+		return // no value, or NaN
 	}
-	k := m.loadReports[to]
-	if k == nil {
+	last := m.loadReports[to]
+	if last == nil {
 		if len(m.loadReports) >= maxMachines {
-			clear(m.loadReports) // most have left the list; the others report again
+			clear(m.loadReports) // most of these destinations no longer exist; the others will report again
 		}
-		k = &loadReport{}
-		m.loadReports[to] = k
+		last = &loadReport{}
+		m.loadReports[to] = last
 	}
-	k.freeSlots, k.at = float64(report[m.freeSlotsField]), m.clock.Now()
+	last.freeSlots, last.at = float64(report[m.freeSlotsField]), m.clock.Now()
 }
 
-// Machines returns the destinations, with the slots that the tenant's jobs use there.
+// Machines returns the destinations, sorted by name, with the slots that the tenant's jobs use.
 func (m *Manager) Machines(t *TenantState) []drmaa.Machine {
-	taken := map[string]float64{}
+	slotsInUse := map[string]float64{}
 	for _, job := range m.byOperation {
 		if job.owner != t {
 			continue
 		}
 		for _, s := range job.Steps {
 			if s.EndedAt == 0 {
-				taken[s.Machine] += job.slots()
+				slotsInUse[s.Machine] += job.slots()
 			}
 		}
 	}
 	out := []drmaa.Machine{}
 	listed := map[balance.WorkerID]bool{}
-	m.core.EachWorker(func(id balance.WorkerID, state balance.State, doubt float64) {
+	m.core.EachWorker(func(id balance.WorkerID, state balance.State, failureProbability float64) {
 		listed[id] = true
-		v := drmaa.Machine{Name: m.config.WorkerName(id), Available: state == balance.Ready, FailureProbability: doubt}
+		v := drmaa.Machine{Name: m.config.WorkerName(id), Available: state == balance.Ready, FailureProbability: failureProbability}
 		if v.State = "Ready"; state != balance.Ready {
 			v.State = "Draining"
 		}
-		if k := m.loadReports[id]; k != nil && m.clock.Now()-k.at < maxReportAge {
-			free := k.freeSlots
+		if last := m.loadReports[id]; last != nil && m.clock.Now()-last.at < maxReportAge {
+			free := last.freeSlots
 			v.FreeSlots = &free
 		}
-		v.BatchSlots = taken[v.Name]
+		v.BatchSlots = slotsInUse[v.Name]
 		out = append(out, v)
 	})
 	maps.DeleteFunc(m.loadReports, func(id balance.WorkerID, _ *loadReport) bool { return !listed[id] })
@@ -70,15 +70,15 @@
 	return out
 }
 
-// Queues returns the classes, with the numbers of the tenant's jobs.
+// Queues returns the classes, sorted by name, with the numbers of the tenant's unfinished jobs.
 func (m *Manager) Queues(t *TenantState) []drmaa.Queue {
-	by := map[string]*drmaa.Queue{}
+	queues := map[string]*drmaa.Queue{}
 	for name, class := range m.classes {
-		by[name] = &drmaa.Queue{Name: name, NonIdempotent: class.NonIdempotent}
+		queues[name] = &drmaa.Queue{Name: name, NonIdempotent: class.NonIdempotent}
 	}
 	for _, s := range t.sessions {
 		for job := range s.jobs {
-			q := by[job.Template.RemoteCommand]
+			q := queues[job.Template.RemoteCommand]
 			switch {
 			case q == nil:
 			case job.State.Held():
@@ -91,8 +91,8 @@
 		}
 	}
 	out := []drmaa.Queue{}
-	for _, name := range slices.Sorted(maps.Keys(by)) {
-		out = append(out, *by[name])
+	for _, name := range slices.Sorted(maps.Keys(queues)) {
+		out = append(out, *queues[name])
 	}
 	return out
 }
--- a/internal/node/batch/jobs/run.go
+++ b/internal/node/batch/jobs/run.go
@@ -16,11 +16,11 @@
 )
 
 const (
-	maxRecordedSteps = 16 // of a job; the oldest are dropped
-	maxFailures      = 3  // failed steps of a job; of a rerunnable one, failed operations
+	maxRecordedSteps = 16 // maximum steps kept per job; older ones are dropped
+	maxFailures      = 3  // a job fails after this many failed steps, a rerunnable job after this many failed operations
 )
 
-// launchQueued dispatches queued jobs to the core, as far as the window has slots.
+// launchQueued dispatches queued jobs to the core while the window has free slots.
 func (m *Manager) launchQueued() {
 	if m.stopping || m.queue.Len() == 0 || m.launchScheduled || m.launching {
 		return
@@ -50,8 +50,8 @@
 	}
 }
 
-// BeforeSend implements routing.Gate: a job's first step is sent only after the store has the
-// job as sent. After a crash all other jobs certainly never ran.
+// BeforeSend implements routing.Gate. A job's first step is sent only after the store has recorded
+// the job as sent, so that after a crash any other job certainly never ran.
 func (m *Manager) BeforeSend(handle slottable.Handle, open func(bool)) {
 	job := m.byOperation[handle]
 	switch {
@@ -60,7 +60,7 @@
 	case job.Sent:
 		open(true)
 	case m.stopping:
-		open(false) // it is left to the next run of the program
+		open(false) // the next run of the program will send it
 	default:
 		job.sendRecorded = true
 		m.updates.add(&change{RecordUpdate: RecordUpdate{ID: job.ID, Sent: true}, job: job, done: func(err error) {
@@ -70,7 +70,7 @@
 	}
 }
 
-// clearSent records that a job is not sent any more, if it certainly never ran.
+// clearSent records that a job is no longer sent, if it certainly never ran.
 func (m *Manager) clearSent(job *Job) {
 	if job.sendRecorded && !job.MayHaveRun {
 		job.Sent, job.sendRecorded = false, false
@@ -78,11 +78,11 @@
 	}
 }
 
-// change is a RecordUpdate on its way to the store.
+// change is a RecordUpdate that is waiting to be stored.
 type change struct {
 	RecordUpdate
 	job  *Job
-	done func(error) // nil: none
+	done func(error) // may be nil
 }
 
 // writeUpdates writes a batch of updates, off the loop.
@@ -94,28 +94,28 @@
 	return store.Update(ctx, rows)
 }
 
-// updatesWritten takes the result of writeUpdates.
+// updatesWritten handles the result of writeUpdates. A failed update without a callback is retried.
 func (m *Manager) updatesWritten(updates []*change, err error) {
 	for _, update := range updates {
 		switch {
 		case update.done != nil:
 			update.done(err)
 		case err != nil:
-			// The record still has the job as sent or held. That matters after a crash alone.
+			// The record still has the job as sent or held. That only matters after a crash.
 			m.timers.Add(m.fromNow(storeRetryDelay), func() { m.rewriteStatus(update.job) })
 		}
 	}
 	m.launchQueued()
 }
 
-// rewriteStatus records the present status of an unfinished job.
+// rewriteStatus stores the current status of an unfinished job.
 func (m *Manager) rewriteStatus(job *Job) {
 	if !job.ending {
 		m.updates.add(&change{RecordUpdate: RecordUpdate{ID: job.ID, Sent: job.Sent || job.stage == inCore, Held: job.Held}, job: job})
 	}
 }
 
-// launch submits a job to the core as an operation.
+// launch submits a job to the core as an operation. The caller has acquired the window's slots.
 func (m *Manager) launch(job *Job) {
 	now := m.clock.Now()
 	deadline := time.Duration(job.DeadlineAt) * time.Microsecond
@@ -139,8 +139,8 @@
 	m.core.Route(job.operation)
 }
 
-// leaveCore ends a job's operation on this side and releases its slots of the window. The
-// caller withdraws the operation from the core if need be.
+// leaveCore detaches a job from its operation and releases its window slots. If the operation is
+// still in progress, the caller must withdraw it from the core.
 func (m *Manager) leaveCore(job *Job) {
 	if job.stage == inCore {
 		m.window.Release(m.clock.Now(), job.slots())
@@ -152,7 +152,7 @@
 	}
 }
 
-// StepSent implements routing.Owner: a route step is about to be sent.
+// StepSent implements routing.Owner: a step is about to be sent to a destination.
 func (m *Manager) StepSent(handle slottable.Handle, to balance.WorkerID) {
 	job := m.byOperation[handle]
 	if job == nil {
@@ -163,7 +163,7 @@
 		m.publish(job, drmaa.Migrated, name)
 	}
 	if job.State == drmaa.Running && !slices.ContainsFunc(job.Steps, func(s Step) bool { return s.StartedAt > 0 && s.EndedAt == 0 }) {
-		m.transition(job, drmaa.Requeued) // the destination that ran it is lost
+		m.transition(job, drmaa.Requeued) // the destination that was running it is lost
 	}
 	if len(job.Steps) >= maxRecordedSteps {
 		job.Steps = slices.Delete(job.Steps, 0, 1)
@@ -174,7 +174,7 @@
 	}
 }
 
-// stepInFlight returns the step in flight at a destination, or nil.
+// stepInFlight returns a job's unfinished step at a destination, or nil.
 func (m *Manager) stepInFlight(job *Job, to balance.WorkerID) *Step {
 	for i := len(job.Steps) - 1; i >= 0; i-- {
 		if s := &job.Steps[i]; s.worker == to && s.EndedAt == 0 {
@@ -184,7 +184,7 @@
 	return nil
 }
 
-// Started implements routing.Owner: a prep worker has begun to run the job.
+// Started implements routing.Owner: a prep worker has started to run the job.
 func (m *Manager) Started(handle slottable.Handle, to balance.WorkerID) {
 	job := m.byOperation[handle]
 	if job == nil {
@@ -198,17 +198,17 @@
 	m.notifyWaiters(job)
 }
 
-// StepEnded implements routing.Owner: a route step has ended. A job that has failed at
-// maxFailedSteps prep workers fails.
-func (m *Manager) StepEnded(handle slottable.Handle, to balance.WorkerID, how balance.Outcome) {
+// StepEnded implements routing.Owner: a step has ended. A job fails once the number of its steps
+// that failed at prep workers reaches maxFailedSteps.
+func (m *Manager) StepEnded(handle slottable.Handle, to balance.WorkerID, outcome balance.Outcome) {
 	job := m.byOperation[handle]
 	if job == nil {
 		return
 	}
 	if s := m.stepInFlight(job, to); s != nil {
-		s.EndedAt, s.Outcome = m.unixNow(), outcomeNames[how]
+		s.EndedAt, s.Outcome = m.unixNow(), outcomeNames[outcome]
 	}
-	if how != balance.Errored {
+	if outcome != balance.Errored {
 		return
 	}
 	job.stepFailed = true
@@ -216,7 +216,7 @@
 	if job.failedSteps < job.maxFailedSteps() {
 		return
 	}
-	// In the loop's next turn: the core has not finished with the step.
+	// Deferred to the next turn of the loop: the core has not finished processing the step.
 	m.timers.Add(m.clock.Now(), func() {
 		if job.operation == handle && !job.ending {
 			m.leaveCore(job)
@@ -228,24 +228,24 @@
 	})
 }
 
-// maxFailedSteps returns how many steps of an operation may fail at prep workers, with retries
-// by the core, before the job fails.
+// maxFailedSteps returns the number of failed steps, including the core's retries, at which an
+// operation fails its job. For a rerunnable job there is no limit; see requeue.
 func (job *Job) maxFailedSteps() int {
-	switch again := job.Template.Rerunnable; {
-	case again == nil:
+	switch rerunnable := job.Template.Rerunnable; {
+	case rerunnable == nil:
 		return maxFailures
-	case *again:
+	case *rerunnable:
 		return math.MaxInt
 	}
 	return 1
 }
 
-// outcomeNames are the names of outcomes in the binding.
+// outcomeNames are the names of outcomes in the API.
 var outcomeNames = [...]string{balance.Served: "served", balance.Errored: "failed", balance.Full: "returned",
 	balance.TimedOut: "timed out", balance.ConnectFailed: "not connected", balance.Reset: "lost",
 	balance.Cancelled: "cancelled", balance.NotSent: "not sent"}
 
-// Answered implements routing.Owner: it takes the core's final answer to an operation.
+// Answered implements routing.Owner: it handles the core's final answer to an operation.
 func (m *Manager) Answered(handle slottable.Handle, answer routing.Answer) {
 	job := m.byOperation[handle]
 	if job == nil {
@@ -260,11 +260,11 @@
 		job.Result, job.ExitStatus = answer.Result, 0
 		m.endJob(job, drmaa.Done, "", true)
 	case answer.Verdict == routing.Refused, answer.Verdict == routing.Failed && !job.MayHaveRun:
-		// A failure that certainly never ran is like a refusal: the class's time-out passed, as
-		// when the store stalls in BeforeSend.
+		// A failed operation that certainly never ran is treated like a refusal: the timeout of the
+		// class passed, for example because the store stalled in BeforeSend.
 		m.requeue(job, answer.RetryAfter)
 	case answer.Verdict == routing.Rejected:
-		m.endJob(job, drmaa.Failed, "the prep workers can make nothing of the job", job.MayHaveRun)
+		m.endJob(job, drmaa.Failed, "a prep worker rejected the job as invalid", job.MayHaveRun)
 	default:
 		reason := "the job failed"
 		if n := len(job.Steps); n > 0 && job.Steps[n-1].Outcome == outcomeNames[balance.Errored] {
@@ -276,23 +276,23 @@
 	}
 }
 
-// requeue schedules a job again after an operation that was refused, with exponential backoff or
-// the core's advice, whichever is longer. A job whose deadline is before that fails. A retry is
-// safe, since the operation has not run, or the job is rerunnable.
+// requeue schedules a job again after a refused operation. The delay is the exponential backoff or
+// the core's advice, whichever is longer; a job whose deadline comes first fails. The retry is safe,
+// since either the operation has not run or the job is rerunnable.
 func (m *Manager) requeue(job *Job, advice time.Duration) {
 	if job.stepFailed {
-		// Not for lack of capacity: it failed at prep workers.
+		// The job failed at prep workers; the refusal was not for lack of capacity.
 		job.failures++
-		if again := job.Template.Rerunnable != nil && *job.Template.Rerunnable; !again || job.failures >= maxFailures {
+		if rerunnable := job.Template.Rerunnable != nil && *job.Template.Rerunnable; !rerunnable || job.failures >= maxFailures {
 			job.ExitStatus = 1
 			m.endJob(job, drmaa.Failed, "the job failed at every prep worker that ran it", true)
 			return
 		}
 	}
 	m.window.ObserveRejection(m.clock.Now(), advice)
-	own := min(minRequeueDelay<<min(job.refusals, 10), maxRequeueDelay)
+	backoff := min(minRequeueDelay<<min(job.refusals, 10), maxRequeueDelay)
 	job.refusals++
-	job.retryAfter = max(advice, own)
+	job.retryAfter = max(advice, backoff)
 	job.notBefore = m.fromNow(job.retryAfter)
 	if job.notBefore >= time.Duration(job.DeadlineAt)*time.Microsecond {
 		m.endJob(job, drmaa.Failed, m.deadlineReason(job), job.MayHaveRun)
@@ -303,8 +303,8 @@
 	m.schedule(job)
 }
 
-// endJob decides a job's final state, once. It is visible only after the store has it, so that
-// a state that a client has seen is not lost by a restart.
+// endJob decides a job's final state; further calls have no effect. The state becomes visible only
+// after it has been stored, so that a restart cannot revert a state that a client has seen.
 func (m *Manager) endJob(job *Job, state drmaa.State, reason string, mayHaveRun bool) {
 	if job.ending {
 		return
@@ -335,7 +335,7 @@
 	return store.Finish(ctx, records)
 }
 
-// finalsWritten publishes final states after their write. A failed write is retried until it
+// finalsWritten publishes final states that have been stored. A failed write is retried until it
 // succeeds.
 func (m *Manager) finalsWritten(jobs []*Job, err error) {
 	if err != nil {
@@ -354,10 +354,10 @@
 // publishEnd makes a job's final state visible and notifies its waiters.
 func (m *Manager) publishEnd(job *Job) {
 	faultinjection.Hit(faultinjection.ShownBefore)
-	was := job.State
+	previous := job.State
 	state := job.final.State
 	job.Record, job.final = *job.final, nil
-	job.State = was
+	job.State = previous
 	m.transition(job, state)
 	level := slog.LevelDebug
 	if state == drmaa.Failed {
@@ -388,14 +388,14 @@
 	}
 }
 
-// StartDelay implements routing.LoadObserver: an operation of either front has started.
+// StartDelay implements routing.LoadObserver: an operation of any front has started after wait.
 func (m *Manager) StartDelay(owner routing.Owner, wait time.Duration) {
 	m.window.ObserveStart(m.clock.Now(), wait, owner == routing.Owner(m))
 	m.launchQueued()
 }
 
-// OperationConcluded implements routing.LoadObserver: a refused or failed operation of either
-// front is a loss to the window.
+// OperationConcluded implements routing.LoadObserver: a refused or failed operation of any front
+// counts as a loss for the window.
 func (m *Manager) OperationConcluded(_ routing.Owner, v routing.Verdict) {
 	if v == routing.Refused || v == routing.Failed {
 		m.window.ObserveLoss(m.clock.Now())
--- a/internal/node/batch/jobs/session.go
+++ b/internal/node/batch/jobs/session.go
@@ -8,7 +8,7 @@
 	"ospreybend/drmaa"
 )
 
-var sessionExists = &drmaa.Error{Status: 409, Name: drmaa.InvalidArgument, Attribute: "name", Message: "the session is there already"}
+var sessionExists = &drmaa.Error{Status: 409, Name: drmaa.InvalidArgument, Attribute: "name", Message: "the session already exists"}
 
 // Sessions returns a tenant's sessions, sorted by name.
 func (m *Manager) Sessions(t *TenantState) []drmaa.Session {
@@ -19,60 +19,60 @@
 	return out
 }
 
-// View returns a session as its client sees it.
+// View returns a session in the form of the API.
 func (s *Session) View() drmaa.Session {
 	return drmaa.Session{Name: s.Name, State: s.State, Unfinished: len(s.jobs)}
 }
 
-// SetSession creates, opens or closes a session. With must "create" it must not exist, with
-// "exist" it must; else it is created if need be.
-func (m *Manager) SetSession(t *TenantState, name, state, must string, done func(*Session, *drmaa.Error)) {
+// SetSession creates, opens or closes a session. With requirement "create" the session must not
+// exist, with "exist" it must; otherwise it is created if it does not exist.
+func (m *Manager) SetSession(t *TenantState, name, state, requirement string, done func(*Session, *drmaa.Error)) {
 	s := t.sessions[name]
 	switch {
 	case s != nil && s.State == SessionDestroying:
 		done(nil, UnknownSession)
 		return
-	case s != nil && must == "create":
+	case s != nil && requirement == "create":
 		done(nil, sessionExists)
 		return
-	case s == nil && must == "exist":
+	case s == nil && requirement == "exist":
 		done(nil, UnknownSession)
 		return
 	}
 	if s == nil {
-		// Before it is recorded, so that of two concurrent creations the second fails.
+		// Created before it is stored, so that the second of two concurrent creations fails.
 		s = t.session(name)
 	}
-	made := s
+	created := s
 	record := SessionRecord{t.Name, name, state}
 	if !m.store.Call(func(ctx context.Context, store Store) error { return store.PutSession(ctx, record) },
 		func(err error) {
 			s := t.sessions[name]
 			switch {
 			case err != nil:
-				m.undoCreate(t, made)
+				m.undoCreate(t, created)
 				done(nil, StoreFailed)
-			case s != made || s.State == SessionDestroying:
+			case s != created || s.State == SessionDestroying:
 				done(nil, UnknownSession)
 			default:
 				s.State, s.recorded = state, true
 				done(s, nil)
 			}
 		}) {
-		m.undoCreate(t, made)
+		m.undoCreate(t, created)
 		done(nil, StoreBehind)
 	}
 }
 
-// undoCreate removes a session that could not be recorded.
+// undoCreate removes a session that could not be stored.
 func (m *Manager) undoCreate(t *TenantState, s *Session) {
 	if t.sessions[s.Name] == s && !s.recorded && len(s.jobs) == 0 {
 		delete(t.sessions, s.Name)
 	}
 }
 
-// DestroySession terminates a session's unfinished jobs, reaps all its jobs and removes it. done
-// is called after that.
+// DestroySession terminates a session's unfinished jobs, reaps all its jobs and removes it, and then
+// calls done.
 func (m *Manager) DestroySession(t *TenantState, name string, done func(*drmaa.Error)) {
 	s := t.sessions[name]
 	if s == nil {
@@ -83,25 +83,25 @@
 		s.destroyCallbacks = append(s.destroyCallbacks, done)
 		return
 	}
-	was := s.State
+	previous := s.State
 	s.State = SessionDestroying // no further submissions
 	s.destroyCallbacks = append(s.destroyCallbacks, done)
 	record := s.SessionRecord
 	if !m.store.Call(func(ctx context.Context, store Store) error { return store.PutSession(ctx, record) },
 		func(err error) {
 			if err != nil {
-				s.State = was
+				s.State = previous
 				s.notifyDestroyed(StoreFailed)
 				return
 			}
 			m.destroy(s)
 		}) {
-		s.State = was
+		s.State = previous
 		s.notifyDestroyed(StoreBehind)
 	}
 }
 
-// notifyDestroyed calls the callbacks of DestroySession.
+// notifyDestroyed calls the pending callbacks of DestroySession.
 func (s *Session) notifyDestroyed(e *drmaa.Error) {
 	all := s.destroyCallbacks
 	s.destroyCallbacks = nil
@@ -117,17 +117,17 @@
 		return
 	}
 	for _, job := range byAge(s.jobs) {
-		_ = m.Terminate(job) // its error is that the job has just ended
+		_ = m.Terminate(job) // the only possible error is that the job has already ended
 	}
 }
 
 // removeSession removes a session whose last job has ended. A failed write is retried.
 func (m *Manager) removeSession(session *Session) {
 	if session.removing {
-		return // after a second call a new session of the same name could be removed
+		return // a second removal could delete a new session with the same name
 	}
 	session.removing = true
-	again := func() {
+	retryLater := func() {
 		session.removing = false
 		m.timers.Add(m.fromNow(storeRetryDelay), func() { m.removeSession(session) })
 	}
@@ -136,7 +136,7 @@
 	},
 		func(err error) {
 			if err != nil {
-				again()
+				retryLater()
 				return
 			}
 			t := m.tenants[session.Tenant]
@@ -158,6 +158,6 @@
 			}
 			session.notifyDestroyed(nil)
 		}) {
-		again()
+		retryLater()
 	}
 }
--- a/internal/node/batch/jobs/submit.go
+++ b/internal/node/batch/jobs/submit.go
@@ -10,94 +10,94 @@
 	"ospreybend/internal/node/faultinjection"
 )
 
-const maxPendingInserts = 1024 // submissions queued for the store at most
+const maxPendingInserts = 1024 // maximum submissions waiting to be stored
 
-// Errors of several calls.
+// Errors that several calls return.
 var (
 	UnknownJob     = &drmaa.Error{Status: 404, Name: drmaa.InvalidArgument, Message: "no such job"}
 	UnknownArray   = &drmaa.Error{Status: 404, Name: drmaa.InvalidArgument, Message: "no such job array"}
 	UnknownSession = &drmaa.Error{Status: 404, Name: drmaa.InvalidSession, Message: "no such session, or it is closed"}
 	StoreFailed    = &drmaa.Error{Status: 500, Name: drmaa.Internal, Message: "the store of record failed"}
-	StoreBehind    = drmaa.TryLaterError(defaultRetryAfter, "the store of record is behind")
+	StoreBehind    = drmaa.TryLaterError(defaultRetryAfter, "the store of record has too many queued calls")
 
 	keyReused = &drmaa.Error{Status: 409, Name: drmaa.InvalidArgument, Attribute: "x_clientKey",
-		Message: "the client key stands for a submission of different content"}
+		Message: "the client key belongs to a submission with different content"}
 )
 
-// pendingSubmission is a submission that is being recorded.
+// pendingSubmission is a submission that is being stored.
 type pendingSubmission struct {
 	submission *Submission
 	jobs       []*Job
 	array      *Array
 	callbacks  []func(submissionRef, *drmaa.Error)
-	existing   ExistingSubmission
-	progress   atomic.Int32 // awaitingInsert, insertBegun or withdrawn; shared with the store's executor
+	existing   ExistingSubmission // result of Store.Insert
+	progress   atomic.Int32       // awaitingInsert, insertBegun or withdrawn; shared with the store's executor
 }
 
 const (
-	awaitingInsert = iota // neither begun by the store nor withdrawn by the loop
-	insertBegun           // the store may have it
-	withdrawn             // its clients were answered TryLater
+	awaitingInsert = iota // neither started by the executor nor withdrawn by the loop
+	insertBegun           // it may have been stored
+	withdrawn             // it was rejected with TryLater and will not be stored
 )
 
-func (e *pendingSubmission) ref() submissionRef {
-	if e.array != nil {
-		return submissionRef{array: e.array}
+func (pending *pendingSubmission) ref() submissionRef {
+	if pending.array != nil {
+		return submissionRef{array: pending.array}
 	}
-	return submissionRef{job: e.jobs[0]}
+	return submissionRef{job: pending.jobs[0]}
 }
 
-func (k submissionRef) digest() string {
-	if k.array != nil {
-		return k.array.Digest
+func (ref submissionRef) digest() string {
+	if ref.array != nil {
+		return ref.array.Digest
 	}
-	return k.job.Digest
+	return ref.job.Digest
 }
 
-// Submit accepts a job. answer is called once the job is recorded, or with an error.
+// Submit accepts a job. answer is called once the job is stored, or with an error.
 func (m *Manager) Submit(t *TenantState, session string, template *drmaa.JobTemplate, answer func(*Job, *drmaa.Error)) {
 	digest := template.Digest("")
-	tell := func(k submissionRef, e *drmaa.Error) {
+	respond := func(ref submissionRef, e *drmaa.Error) {
 		switch {
 		case e != nil:
 			answer(nil, e)
-		case k.job == nil:
+		case ref.job == nil:
 			answer(nil, keyReused)
 		default:
-			answer(k.job, nil)
+			answer(ref.job, nil)
 		}
 	}
-	s, ok := m.admit(t, session, template.ClientKey, digest, 1, tell)
+	s, ok := m.admit(t, session, template.ClientKey, digest, 1, respond)
 	if !ok {
 		return
 	}
 	job := m.newJob(s, t, template, newID(), 0)
 	job.ClientKey, job.Digest = template.ClientKey, digest
-	record := job.Record // a copy: the store's executor must not read what the loop changes
-	e := &pendingSubmission{submission: &Submission{Jobs: []*Record{&record}}, jobs: []*Job{job}}
-	e.callbacks = append(e.callbacks, tell)
-	job.pending = e
+	record := job.Record // copied, since the executor must not read fields that the loop changes
+	pending := &pendingSubmission{submission: &Submission{Jobs: []*Record{&record}}, jobs: []*Job{job}}
+	pending.callbacks = append(pending.callbacks, respond)
+	job.pending = pending
 	m.track(job)
-	m.pendingSubmissions[e] = true
-	m.inserts.add(e)
+	m.pendingSubmissions[pending] = true
+	m.inserts.add(pending)
 }
 
-// SubmitBulk accepts a job array with all its jobs. answer is called once it is recorded, or
-// with an error. The client key stands for the array.
+// SubmitBulk accepts a job array with all its jobs. answer is called once the array is stored, or
+// with an error. The client key identifies the array, not its jobs.
 func (m *Manager) SubmitBulk(t *TenantState, session string, b *drmaa.Bulk, answer func(*Array, *drmaa.Error)) {
 	digest := b.Digest()
-	tell := func(k submissionRef, e *drmaa.Error) {
+	respond := func(ref submissionRef, e *drmaa.Error) {
 		switch {
 		case e != nil:
 			answer(nil, e)
-		case k.array == nil:
+		case ref.array == nil:
 			answer(nil, keyReused)
 		default:
-			answer(k.array, nil)
+			answer(ref.array, nil)
 		}
 	}
 	n := b.Count()
-	s, ok := m.admit(t, session, b.Template.ClientKey, digest, n, tell)
+	s, ok := m.admit(t, session, b.Template.ClientKey, digest, n, respond)
 	if !ok {
 		return
 	}
@@ -105,75 +105,76 @@
 		Digest: digest, Template: b.Template, Begin: b.Begin, End: b.End, Step: b.Step, MaxParallel: b.MaxParallel,
 		SubmittedAt: m.unixNow()}, false)
 	record := a.ArrayRecord
-	e := &pendingSubmission{submission: &Submission{Array: &record, Jobs: make([]*Record, 0, n)}, array: a, jobs: make([]*Job, 0, n)}
-	e.callbacks = append(e.callbacks, tell)
-	a.pending, a.session = e, s
+	pending := &pendingSubmission{submission: &Submission{Array: &record, Jobs: make([]*Record, 0, n)}, array: a, jobs: make([]*Job, 0, n)}
+	pending.callbacks = append(pending.callbacks, respond)
+	a.pending, a.session = pending, s
 	records := make([]Record, n)
 	for i := range n {
 		index := b.Begin + i*b.Step
 		job := m.newJob(s, t, b.Template, drmaa.JobID(a.ID, index), index)
-		job.Array, job.array, job.pending = a.ID, a, e
+		job.Array, job.array, job.pending = a.ID, a, pending
 		records[i] = job.Record
-		e.submission.Jobs = append(e.submission.Jobs, &records[i])
-		e.jobs = append(e.jobs, job)
+		pending.submission.Jobs = append(pending.submission.Jobs, &records[i])
+		pending.jobs = append(pending.jobs, job)
 		m.track(job)
 	}
 	m.arrays[a.ID] = a
 	m.rememberKey(submissionRef{array: a}, a.Tenant, a.ClientKey)
-	m.pendingSubmissions[e] = true
-	m.inserts.add(e)
+	m.pendingSubmissions[pending] = true
+	m.inserts.add(pending)
 }
 
-// admit reports whether count jobs may be accepted. If not, or if the client key stands for a
-// submission already, it answers by tell and returns false.
-func (m *Manager) admit(t *TenantState, name, key, digest string, count int, tell func(submissionRef, *drmaa.Error)) (*Session, bool) {
+// admit reports whether count jobs may be accepted, and returns their session. If they may not, or
+// if the client key belongs to an existing submission, it calls respond and returns false.
+func (m *Manager) admit(t *TenantState, name, key, digest string, count int, respond func(submissionRef, *drmaa.Error)) (*Session, bool) {
 	s := t.sessions[name]
 	if s == nil || s.State != SessionOpen {
-		tell(submissionRef{}, UnknownSession)
+		respond(submissionRef{}, UnknownSession)
 		return nil, false
 	}
 	if key != "" {
-		if k, ok := m.byKey[keyOf(t.Name, key)]; ok {
-			m.attach(k, digest, tell)
+		if ref, ok := m.byKey[keyOf(t.Name, key)]; ok {
+			m.attach(ref, digest, respond)
 			return nil, false
 		}
 	}
 	after, ok := m.circuit.Admit(m.clock.Now())
 	switch {
 	case !ok:
-		tell(submissionRef{}, drmaa.TryLaterError(after, "the store of record does not answer"))
+		respond(submissionRef{}, drmaa.TryLaterError(after, "the store of record does not answer"))
 	case m.stopping:
-		tell(submissionRef{}, drmaa.TryLaterError(defaultRetryAfter, "the node is stopping"))
+		respond(submissionRef{}, drmaa.TryLaterError(defaultRetryAfter, "the node is stopping"))
 	case t.unfinished+count > t.Quota:
-		tell(submissionRef{}, &drmaa.Error{Status: 429, Name: drmaa.TryLater, RetryAfter: defaultRetryAfter,
+		respond(submissionRef{}, &drmaa.Error{Status: 429, Name: drmaa.TryLater, RetryAfter: defaultRetryAfter,
 			Message: "the tenant has " + strconv.Itoa(t.unfinished) + " unfinished jobs, its quota is " + strconv.Itoa(t.Quota)})
 	case m.inserts.pending() >= maxPendingInserts:
-		tell(submissionRef{}, StoreBehind)
+		respond(submissionRef{}, StoreBehind)
 	default:
 		return s, true
 	}
 	return nil, false
 }
 
-// attach answers a submission whose client key stands for an earlier one, once that is recorded.
-func (m *Manager) attach(ref submissionRef, digest string, tell func(submissionRef, *drmaa.Error)) {
-	var e *pendingSubmission
+// attach answers a submission whose client key belongs to an earlier one, once the earlier one is
+// stored.
+func (m *Manager) attach(ref submissionRef, digest string, respond func(submissionRef, *drmaa.Error)) {
+	var pending *pendingSubmission
 	if ref.array != nil {
-		e = ref.array.pending
+		pending = ref.array.pending
 	} else {
-		e = ref.job.pending
+		pending = ref.job.pending
 	}
 	switch {
 	case ref.digest() != digest:
-		tell(submissionRef{}, keyReused)
-	case e != nil:
-		e.callbacks = append(e.callbacks, tell)
+		respond(submissionRef{}, keyReused)
+	case pending != nil:
+		pending.callbacks = append(pending.callbacks, respond)
 	default:
-		tell(ref, nil)
+		respond(ref, nil)
 	}
 }
 
-// newJob returns a job of a submission.
+// newJob returns a new job with the given template. index is 0 for a single job.
 func (m *Manager) newJob(s *Session, t *TenantState, template *drmaa.JobTemplate, id string, index int) *Job {
 	now := m.unixNow()
 	m.lastSeq = max(m.lastSeq+1, now)
@@ -188,70 +189,71 @@
 	return job
 }
 
-// insert records the submissions of a batch that were not withdrawn, off the loop.
+// insert stores the submissions of a batch that were not withdrawn. It runs off the loop.
 func (m *Manager) insert(ctx context.Context, store Store, entries []*pendingSubmission) error {
-	var subs []*Submission
-	var whose []*pendingSubmission
-	for _, e := range entries {
-		if e.progress.CompareAndSwap(awaitingInsert, insertBegun) {
-			subs, whose = append(subs, e.submission), append(whose, e)
+	var submissions []*Submission
+	var inserted []*pendingSubmission
+	for _, pending := range entries {
+		if pending.progress.CompareAndSwap(awaitingInsert, insertBegun) {
+			submissions, inserted = append(submissions, pending.submission), append(inserted, pending)
 		}
 	}
-	if len(subs) == 0 {
+	if len(submissions) == 0 {
 		return nil
 	}
-	stored, err := store.Insert(ctx, subs)
+	stored, err := store.Insert(ctx, submissions)
 	if err != nil {
 		return err
 	}
-	for i, e := range whose {
-		e.existing = stored[i]
+	for i, pending := range inserted {
+		pending.existing = stored[i]
 	}
 	return nil
 }
 
-// rejectPending withdraws and answers the submissions that a stalled store has not begun:
-// nothing of them is recorded, nor will be.
+// rejectPending rejects the submissions whose insertion a stalled store has not started. They are
+// withdrawn, so that they will not be stored later.
 func (m *Manager) rejectPending() {
-	for e := range m.pendingSubmissions {
-		if e.progress.CompareAndSwap(awaitingInsert, withdrawn) {
+	for pending := range m.pendingSubmissions {
+		if pending.progress.CompareAndSwap(awaitingInsert, withdrawn) {
 			m.circuit.CountRejected()
-			m.discard(e)
-			e.answer(submissionRef{}, drmaa.TryLaterError(storeRetryDelay, "the store of record does not answer"))
+			m.discard(pending)
+			pending.answer(submissionRef{}, drmaa.TryLaterError(storeRetryDelay, "the store of record does not answer"))
 		}
 	}
 }
 
-// discard removes a submission that is not recorded.
-func (m *Manager) discard(e *pendingSubmission) {
-	delete(m.pendingSubmissions, e)
-	for _, job := range e.jobs {
+// discard removes a submission that was not stored.
+func (m *Manager) discard(pending *pendingSubmission) {
+	delete(m.pendingSubmissions, pending)
+	for _, job := range pending.jobs {
 		job.stage = ended
 		m.forget(job)
 		m.untrack(job)
 	}
-	if e.array != nil {
-		m.forgetArray(e.array)
+	if pending.array != nil {
+		m.forgetArray(pending.array)
 	}
 }
 
-func (e *pendingSubmission) answer(k submissionRef, p *drmaa.Error) {
-	askers := e.callbacks
-	e.callbacks = nil
-	for _, answer := range askers {
-		answer(k, p)
+// answer calls and removes the callbacks of a submission.
+func (pending *pendingSubmission) answer(ref submissionRef, failure *drmaa.Error) {
+	callbacks := pending.callbacks
+	pending.callbacks = nil
+	for _, answer := range callbacks {
+		answer(ref, failure)
 	}
 }
 
-// insertsWritten takes the result of insert.
+// insertsWritten handles the result of insert.
 func (m *Manager) insertsWritten(entries []*pendingSubmission, err error) {
-	for _, e := range entries {
-		m.submissionWritten(e, err)
+	for _, pending := range entries {
+		m.submissionWritten(pending, err)
 	}
 }
 
-// submissionWritten acknowledges a recorded submission and schedules its jobs; or answers what
-// has its client key, or the error.
+// submissionWritten acknowledges a stored submission and schedules its jobs. If the submission was
+// not stored, it answers with the existing submission that uses its client key, or with the error.
 func (m *Manager) submissionWritten(pending *pendingSubmission, err error) {
 	if pending.progress.Load() == withdrawn {
 		return
@@ -264,7 +266,7 @@
 			pending.answer(submissionRef{}, StoreFailed)
 			return
 		}
-		// The key stands for a submission that is not in memory any more.
+		// The key belongs to a submission that is no longer in memory.
 		ref := m.detached(pending.existing)
 		if ref.digest() != pending.ref().digest() {
 			pending.answer(submissionRef{}, keyReused)
@@ -291,7 +293,8 @@
 	}
 }
 
-// detached returns a stored submission in the form of one in memory, for one call.
+// detached returns a stored submission as a submissionRef. If it is not in memory, the job or array
+// is a temporary copy that the manager does not track.
 func (m *Manager) detached(s ExistingSubmission) submissionRef {
 	if s.Array != nil {
 		return submissionRef{array: m.detachedArray(s.Array)}
@@ -299,6 +302,7 @@
 	return submissionRef{job: m.detachedJob(s.Job)}
 }
 
+// detachedJob returns the job in memory, or a temporary copy of an ended job's record.
 func (m *Manager) detachedJob(r *Record) *Job {
 	if job := m.jobs[r.ID]; job != nil {
 		return job
@@ -306,6 +310,7 @@
 	return &Job{Record: *r, owner: m.tenants[r.Tenant], recorded: true, ending: true, stage: ended}
 }
 
+// detachedArray returns the array in memory, or a temporary copy of its record.
 func (m *Manager) detachedArray(r *ArrayRecord) *Array {
 	if a := m.arrays[r.ID]; a != nil {
 		return a
@@ -317,5 +322,5 @@
 	return a
 }
 
-// fromNow returns the time after a span from now.
+// fromNow returns the loop's time after a delay.
 func (m *Manager) fromNow(span time.Duration) time.Duration { return m.clock.Now() + span }
--- a/internal/node/batch/jobs/undecided.go
+++ b/internal/node/batch/jobs/undecided.go
@@ -19,15 +19,15 @@
 	return names
 }
 
-// Undecided calls got with a page of the undecided jobs, oldest first: they have FAILED, may have
-// run and must not run twice, and no prep worker has reported their outcome.
-func (m *Manager) Undecided(after drmaa.Cursor, limit int, got func(*drmaa.Page, *drmaa.Error)) {
+// Undecided calls done with a page of the undecided jobs, oldest first. These are FAILED jobs that
+// may have run and must not run twice, and whose outcome no prep worker has reported.
+func (m *Manager) Undecided(after drmaa.Cursor, limit int, done func(*drmaa.Page, *drmaa.Error)) {
 	classes := m.nonIdempotentClasses()
 	callStore(m, func(ctx context.Context, store Store) ([]*Record, error) {
 		return store.Undecided(ctx, classes, after, limit+1)
 	}, func(rows []*Record, e *drmaa.Error) {
 		if e != nil {
-			got(nil, e)
+			done(nil, e)
 			return
 		}
 		page := &drmaa.Page{Jobs: []*drmaa.Job{}}
@@ -38,13 +38,13 @@
 			last := rows[limit-1]
 			page.Next = drmaa.Cursor{Seq: last.Seq, ID: last.ID}.String()
 		}
-		got(page, nil)
+		done(page, nil)
 	})
 }
 
-var notUndecided = drmaa.InvalidStateError("the job is not undecided, or has been settled")
+var notUndecided = drmaa.InvalidStateError("the job is not undecided or has already been settled")
 
-// Settle records a person's decision on an undecided job, once.
+// Settle stores an operator's decision on an undecided job. A job can be settled only once.
 func (m *Manager) Settle(id string, ran bool, reason string, done func(*drmaa.Error)) {
 	s := Settlement{At: m.unixNow(), Ran: ran, Reason: reason}
 	callStore(m, func(ctx context.Context, store Store) (bool, error) {
--- a/internal/node/batch/jobs/wait.go
+++ b/internal/node/batch/jobs/wait.go
@@ -10,14 +10,14 @@
 
 // waiter is a client that waits for one of several jobs.
 type waiter struct {
-	started bool // it waits for a start, not for an end
-	sets    []waiters
+	started bool      // waits for a start as well as an end
+	sets    []waiters // the sets that contain it
 	timeout *timerqueue.Timer
 	ended   bool
 	done    func(*Job, *drmaa.Error)
 }
 
-// waiters is the set of clients that wait for a job, or for one of an array or a session.
+// waiters is a set of clients that wait for a job, or for the jobs of an array or a session.
 type waiters map[*waiter]bool
 
 // join adds the waiter to a set.
@@ -29,14 +29,14 @@
 	w.sets = append(w.sets, *set)
 }
 
-// endWait answers a waiter, once.
+// endWait answers a waiter unless its wait has already ended.
 func (m *Manager) endWait(w *waiter, job *Job, e *drmaa.Error) {
 	if m.cancelWait(w) {
 		w.done(job, e)
 	}
 }
 
-// cancelWait removes a waiter from all its sets. It returns false if the wait has ended.
+// cancelWait removes a waiter from all its sets. It returns false if the wait had already ended.
 func (m *Manager) cancelWait(w *waiter) bool {
 	if w.ended {
 		return false
@@ -68,19 +68,20 @@
 	}
 }
 
-// satisfyAll answers all waiters of a set.
+// satisfyAll answers all waiters of a set with a job.
 func (m *Manager) satisfyAll(set waiters, job *Job) {
 	for w := range set {
 		m.endWait(w, job, nil)
 	}
 }
 
-// newWaiter returns a waiter with a time-out, whose error has the job about if it is given.
+// newWaiter returns a waiter with a timeout. The timeout error contains the job about unless it is
+// nil.
 func (m *Manager) newWaiter(started bool, timeout time.Duration, done func(*Job, *drmaa.Error), about *Job) *waiter {
 	w := &waiter{started: started, done: done}
 	m.openWaits++
 	w.timeout = m.timers.Add(m.fromNow(timeout), func() {
-		e := &drmaa.Error{Status: 504, Name: drmaa.Timeout, Message: "the wait's own timeout has passed"}
+		e := &drmaa.Error{Status: 504, Name: drmaa.Timeout, Message: "the timeout of the wait has passed"}
 		if about != nil {
 			e.Job = m.View(about)
 		}
@@ -89,10 +90,11 @@
 	return w
 }
 
+// doNothing cancels a wait that has already ended.
 func doNothing() {}
 
-// Wait calls done when one of the jobs has ended (or started, with started), or with an error
-// after the timeout. leave cancels the wait.
+// Wait calls done when one of the jobs has ended (if started is set: started or ended), or with an
+// error after the timeout. leave cancels the wait.
 func (m *Manager) Wait(all []*Job, started bool, timeout time.Duration, done func(*Job, *drmaa.Error)) (leave func()) {
 	for _, job := range all {
 		if job.State.Final() || started && job.State.Started() {
@@ -111,7 +113,7 @@
 	return func() { m.cancelWait(w) }
 }
 
-// WaitArray is Wait over the jobs of an array; with all it waits for the end of all of them.
+// WaitArray is like Wait for the jobs of an array. If all is set, it waits for the end of all jobs.
 func (m *Manager) WaitArray(array *Array, started, all bool, timeout time.Duration, done func(*Job, *drmaa.Error)) (leave func()) {
 	switch {
 	case all && array.unfinished == 0:
@@ -138,7 +140,7 @@
 	return func() { m.cancelWait(w) }
 }
 
-// WaitSession is Wait over all jobs of a session, ended ones that are not reaped included.
+// WaitSession is like Wait for all jobs of a session, including ended jobs that are not reaped.
 func (m *Manager) WaitSession(s *Session, started bool, timeout time.Duration, done func(*Job, *drmaa.Error)) (leave func()) {
 	if started {
 		for job := range s.jobs {
@@ -154,8 +156,8 @@
 	return func() { m.cancelWait(w) }
 }
 
-// satisfyFromStore looks for a job that has ended already. The waiter is in its sets meanwhile,
-// so that it does not miss one that ends before the answer.
+// satisfyFromStore looks in the store for a job that has already ended. The waiter must be in its
+// sets before the call, so that it does not miss a job that ends during the lookup.
 func (m *Manager) satisfyFromStore(waiter *waiter, tenant, session, array string) {
 	callStore(m, func(ctx context.Context, store Store) (*Record, error) {
 		return store.AnyEnded(ctx, tenant, session, array)
