--- a/internal/controlplane/server/session_liveness_test.go
+++ b/internal/controlplane/server/session_liveness_test.go
@@ -8,17 +8,19 @@
 	"ospreybend/internal/controlplane/registry"
 )
 
+// The instance, and its service, of tests that need just one.
 const (
-	presentID      = "i-1"
-	presentService = "s"
+	testInstanceID = "i-1"
+	testService    = "s"
 )
 
-// newServerWithInstance returns a server that follows the shard of an instance and has its record.
+// newServerWithInstance returns a server that is a follower in the shard of an instance and has its record, the shard's group, and a
+// heartbeat that matches the record.
 func newServerWithInstance(t *testing.T) (*Server, *scriptedGroup, registry.Heartbeat) {
 	t.Helper()
 	s, groups, _ := newScriptedServer(t)
-	id := shards.ForService(presentService)
-	heartbeat, err := registry.ParseHeartbeat(presentID, []byte(heartbeatJSON("ready", 1)))
+	id := shards.ForService(testService)
+	heartbeat, err := registry.ParseHeartbeat(testInstanceID, []byte(heartbeatJSON("ready", 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -29,25 +31,25 @@
 
 func TestServer_AcknowledgeLocally_unchangedHeartbeatOnCurrentReplica(t *testing.T) {
 	s, _, heartbeat := newServerWithInstance(t)
-	id := shards.ForService(presentService)
+	id := shards.ForService(testService)
 	for _, sequence := range []uint64{5, 7, 6} {
 		heartbeat.Sequence = sequence
 		if !s.acknowledgeLocally(id, heartbeat) {
-			t.Fatal("an unchanged heartbeat was not acknowledged")
+			t.Fatalf("unchanged heartbeat with sequence number %d was not acknowledged locally", sequence)
 		}
 	}
-	if drained := s.liveness.drain(id); len(drained) != 1 || drained[0] != (sessionHeartbeat{ID: presentID, Sequence: 7}) {
-		t.Fatal(drained)
+	if drained := s.liveness.drain(id); len(drained) != 1 || drained[0] != (sessionHeartbeat{ID: testInstanceID, Sequence: 7}) {
+		t.Fatalf("heartbeats to report: %+v, want one of %s with sequence number 7", drained, testInstanceID)
 	}
 	if drained := s.liveness.drain(id); len(drained) != 0 {
-		t.Fatal("reported twice", drained)
+		t.Fatalf("heartbeats to report after the first report: %+v, want none", drained)
 	}
 }
 
 func TestServer_AcknowledgeLocally_changedHeartbeatNeedsOwner(t *testing.T) {
 	cases := map[string]func(s *Server, group *scriptedGroup, heartbeat *registry.Heartbeat){
 		"draining":        func(_ *Server, _ *scriptedGroup, heartbeat *registry.Heartbeat) { heartbeat.State = registry.Draining },
-		"another stage":   func(_ *Server, _ *scriptedGroup, heartbeat *registry.Heartbeat) { heartbeat.Stage = "decode" },
+		"another role":    func(_ *Server, _ *scriptedGroup, heartbeat *registry.Heartbeat) { heartbeat.Stage = "decode" },
 		"another address": func(_ *Server, _ *scriptedGroup, heartbeat *registry.Heartbeat) { heartbeat.Address = "10.9.9.9:9" },
 		"not recorded":    func(_ *Server, _ *scriptedGroup, heartbeat *registry.Heartbeat) { heartbeat.ID = "i-2" },
 		"not current": func(_ *Server, group *scriptedGroup, _ *registry.Heartbeat) {
@@ -55,17 +57,17 @@
 			status.ConfirmedAge = 2 * currentMaxAge
 			group.set(status)
 		},
-		"leads itself": func(_ *Server, group *scriptedGroup, _ *registry.Heartbeat) { group.set(leaderStatus()) },
+		"is the leader": func(_ *Server, group *scriptedGroup, _ *registry.Heartbeat) { group.set(leaderStatus()) },
 		"removed": func(s *Server, _ *scriptedGroup, _ *registry.Heartbeat) {
-			s.registryMachine(shards.ForService(presentService)).Apply(consensus.Entry{Index: 2, Data: registry.EncodeRemove(presentID, registry.Expired, 1)})
+			s.registryMachine(shards.ForService(testService)).Apply(consensus.Entry{Index: 2, Data: registry.EncodeRemove(testInstanceID, registry.Expired, 1)})
 		},
 	}
 	for name, alter := range cases {
 		t.Run(name, func(t *testing.T) {
 			s, group, heartbeat := newServerWithInstance(t)
 			alter(s, group, &heartbeat)
-			if s.acknowledgeLocally(shards.ForService(presentService), heartbeat) {
-				t.Fatal("acknowledged without the owner")
+			if s.acknowledgeLocally(shards.ForService(testService), heartbeat) {
+				t.Fatalf("heartbeat %+v was acknowledged without the owner", heartbeat)
 			}
 		})
 	}
