--- a/internal/node/batch/httpapi/admin.go
+++ b/internal/node/batch/httpapi/admin.go
@@ -102,7 +102,7 @@
 		then()
 	}) {
 		fail()
-		replyError(call, jobs.StoreBehind)
+		replyError(call, jobs.StoreQueueFull)
 	}
 }
 
--- a/internal/node/batch/jobs/lookup.go
+++ b/internal/node/batch/jobs/lookup.go
@@ -9,7 +9,7 @@
 const maxScans = 16 // maximum reads of the store for one page
 
 // callStore runs call off the loop and calls done on the loop with its result, or with StoreFailed
-// if call failed. If the queue of calls is full, it calls done immediately with StoreBehind.
+// if call failed. If the queue of calls is full, it calls done immediately with StoreQueueFull.
 func callStore[T any](m *Manager, call func(context.Context, Store) (T, error), done func(T, *drmaa.Error)) {
 	var result, none T
 	if !m.store.Call(func(ctx context.Context, store Store) (err error) {
@@ -22,7 +22,7 @@
 		}
 		done(result, nil)
 	}) {
-		done(none, StoreBehind)
+		done(none, StoreQueueFull)
 	}
 }
 
--- a/internal/node/batch/jobs/session.go
+++ b/internal/node/batch/jobs/session.go
@@ -60,7 +60,7 @@
 			}
 		}) {
 		m.undoCreate(t, created)
-		done(nil, StoreBehind)
+		done(nil, StoreQueueFull)
 	}
 }
 
@@ -97,7 +97,7 @@
 			m.destroy(s)
 		}) {
 		s.State = previous
-		s.notifyDestroyed(StoreBehind)
+		s.notifyDestroyed(StoreQueueFull)
 	}
 }
 
--- a/internal/node/batch/jobs/submit.go
+++ b/internal/node/batch/jobs/submit.go
@@ -18,7 +18,7 @@
 	UnknownArray   = &drmaa.Error{Status: 404, Name: drmaa.InvalidArgument, Message: "no such job array"}
 	UnknownSession = &drmaa.Error{Status: 404, Name: drmaa.InvalidSession, Message: "no such session, or it is closed"}
 	StoreFailed    = &drmaa.Error{Status: 500, Name: drmaa.Internal, Message: "the store of record failed"}
-	StoreBehind    = drmaa.TryLaterError(defaultRetryAfter, "the store of record has too many queued calls")
+	StoreQueueFull = drmaa.TryLaterError(defaultRetryAfter, "the store of record has too many queued calls")
 
 	keyReused = &drmaa.Error{Status: 409, Name: drmaa.InvalidArgument, Attribute: "x_clientKey",
 		Message: "the client key belongs to a submission with different content"}
@@ -148,7 +148,7 @@
 		respond(submissionRef{}, &drmaa.Error{Status: 429, Name: drmaa.TryLater, RetryAfter: defaultRetryAfter,
 			Message: "the tenant has " + strconv.Itoa(t.unfinished) + " unfinished jobs, its quota is " + strconv.Itoa(t.Quota)})
 	case m.inserts.pending() >= maxPendingInserts:
-		respond(submissionRef{}, StoreBehind)
+		respond(submissionRef{}, StoreQueueFull)
 	default:
 		return s, true
 	}
