--- a/internal/controlplane/configuration/command.go
+++ b/internal/controlplane/configuration/command.go
@@ -64,18 +64,18 @@
 // *Rejection with CodeBadCommand.
 func DecodeCommand(encoded []byte) (Command, error) {
 	if len(encoded) == 0 {
-		return Command{}, reject(CodeBadCommand, "the entry is empty")
+		return Command{}, reject(CodeBadCommand, "it is empty")
 	}
 	var record commandRecord
 	if err := strictavro.Unmarshal(avroCodec, commandSchema, encoded, &record); err != nil {
 		return Command{}, reject(CodeBadCommand, err.Error())
 	}
 	if record.Format != commandFormat {
-		return Command{}, reject(CodeBadCommand, fmt.Sprintf("unknown format %d", record.Format))
+		return Command{}, reject(CodeBadCommand, fmt.Sprintf("format %d", record.Format))
 	}
 	kind := CommandKind(record.Kind)
 	if kind != CommandReplace && kind != CommandUpdate {
-		return Command{}, reject(CodeBadCommand, fmt.Sprintf("unknown command kind %d", record.Kind))
+		return Command{}, reject(CodeBadCommand, fmt.Sprintf("kind %d", record.Kind))
 	}
 	return Command{Kind: kind, Base: uint64(record.Base), Body: record.Body}, nil
 }
--- a/internal/controlplane/configuration/document.go
+++ b/internal/controlplane/configuration/document.go
@@ -55,7 +55,7 @@
 // references between them.
 func readDocument(body []byte) (*document, *Rejection) {
 	if !utf8.Valid(body) {
-		return nil, reject(CodeMalformed, "the body is not valid UTF-8")
+		return nil, reject(CodeMalformed, "it is not UTF-8")
 	}
 	members, rejection := readMembers(body, "configuration")
 	if rejection != nil {
@@ -80,7 +80,7 @@
 	members := []member{}
 	rejection := eachMember(raw, subject, func(decoder *jx.Decoder, key string) error {
 		if findMember(members, key) != nil {
-			return reject(CodeDuplicateName, subject+" contains member "+key+" more than once")
+			return reject(CodeDuplicateName, subject+" has "+key+" twice")
 		}
 		read, err := readMember(decoder, key)
 		if err != nil {
@@ -136,7 +136,7 @@
 			return rejection
 		}
 		if names[read.name] {
-			return reject(CodeDuplicateName, list+" contains name "+read.name+" more than once")
+			return reject(CodeDuplicateName, list+" has "+read.name+" twice")
 		}
 		names[read.name] = true
 		items = append(items, read)
@@ -151,7 +151,7 @@
 // readItem parses one item. An item of routes or services is parsed completely, any other only for its name.
 func readItem(raw jx.Raw, list string) (*item, *Rejection) {
 	if raw.Type() != jx.Object {
-		return nil, reject(CodeMissingField, list+" contains an element that is not an object")
+		return nil, reject(CodeMissingField, list+" holds something that is not an object")
 	}
 	switch list {
 	case listRoutes:
--- a/internal/controlplane/configuration/document_update.go
+++ b/internal/controlplane/configuration/document_update.go
@@ -38,7 +38,7 @@
 	present := map[string]bool{}
 	rejection := eachMember(body, "update", func(decoder *jx.Decoder, key string) error {
 		if present[key] {
-			return reject(CodeDuplicateName, "update contains member "+key+" more than once")
+			return reject(CodeDuplicateName, "the update has "+key+" twice")
 		}
 		present[key] = true
 		return change.readMember(decoder, key)
@@ -73,7 +73,7 @@
 		return rejection
 	}
 	if findMember(u.upserts, memberGeneration) != nil {
-		return reject(CodeBadField, "upsert contains a generation")
+		return reject(CodeBadField, "upsert holds a generation")
 	}
 	return nil
 }
@@ -92,7 +92,7 @@
 		removals = append(removals, listRemoval{list: key, names: names})
 		return decoder.Arr(func(decoder *jx.Decoder) error {
 			name := ""
-			err := jsonfield.String(decoder, "remove: a name in "+key, &name)
+			err := jsonfield.String(decoder, "remove: a name of "+key, &name)
 			names[name] = true
 			return err
 		})
--- a/internal/controlplane/configuration/parse_route.go
+++ b/internal/controlplane/configuration/parse_route.go
@@ -132,7 +132,7 @@
 func readTarget(decoder *jx.Decoder, key string) (Target, error) {
 	target := Target{}
 	if decoder.Next() != jx.Object {
-		return target, reject(CodeBadField, key+" contains an element that is not an object")
+		return target, reject(CodeBadField, key+" holds something that is not an object")
 	}
 	err := decoder.Obj(func(decoder *jx.Decoder, key string) error {
 		switch key {
--- a/internal/controlplane/configuration/validate.go
+++ b/internal/controlplane/configuration/validate.go
@@ -1,7 +1,6 @@
 package configuration
 
 import (
-	"fmt"
 	"math"
 	"slices"
 	"strings"
@@ -32,7 +31,7 @@
 			return reject(CodeInvalidWeights, "route "+route.Name)
 		}
 		if target.Service == "" {
-			return reject(CodeUnknownService, "route "+route.Name+" has a target without a service name")
+			return reject(CodeUnknownService, "route "+route.Name+" has a target without a name")
 		}
 		sum += target.Weight
 	}
@@ -70,7 +69,7 @@
 	for _, entry := range routes {
 		for _, target := range entry.route.Targets {
 			if !known[target.Service] {
-				return reject(CodeUnknownService, "route "+entry.name+", service "+target.Service)
+				return reject(CodeUnknownService, "route "+entry.name+" names "+target.Service)
 			}
 		}
 	}
@@ -89,7 +88,7 @@
 // validateGeneration rejects a generation that is not above the one that the change is based on.
 func validateGeneration(generation, base uint64) *Rejection {
 	if generation <= base {
-		return reject(CodeGenerationNotAbove, fmt.Sprintf("generation %d, base %d", generation, base))
+		return reject(CodeGenerationNotAbove, "")
 	}
 	return nil
 }
@@ -105,7 +104,7 @@
 	case CommandUpdate:
 		return validateUpdate(command, checkGeneration)
 	default:
-		return reject(CodeBadCommand, fmt.Sprintf("unknown command kind %d", command.Kind))
+		return reject(CodeBadCommand, "kind")
 	}
 }
 
--- a/internal/controlplane/registry/command.go
+++ b/internal/controlplane/registry/command.go
@@ -193,14 +193,14 @@
 // decodeCommand decodes a log entry. Its rejections have the code InvalidCommand.
 func decodeCommand(encoded []byte) (command, *Rejection) {
 	if len(encoded) == 0 {
-		return command{}, reject(InvalidCommand, "the command is empty")
+		return command{}, reject(InvalidCommand, "it is empty")
 	}
 	var record commandRecord
 	if err := strictavro.Unmarshal(codec, commandSchema, encoded, &record); err != nil {
 		return command{}, reject(InvalidCommand, err.Error())
 	}
 	if record.Format != commandFormat {
-		return command{}, reject(InvalidCommand, fmt.Sprintf("the command has format %d, expected %d", record.Format, commandFormat))
+		return command{}, reject(InvalidCommand, fmt.Sprintf("format %d", record.Format))
 	}
 	decoded := command{
 		operation: operation(record.Operation),
@@ -209,7 +209,7 @@
 		reason:    RemovalReason(record.Reason),
 	}
 	if decoded.instance.ID == "" {
-		return command{}, reject(InvalidCommand, "the command has no instance ID")
+		return command{}, reject(InvalidCommand, "it names no instance")
 	}
 	return decoded, nil
 }
--- a/internal/controlplane/registry/heartbeat.go
+++ b/internal/controlplane/registry/heartbeat.go
@@ -2,7 +2,6 @@
 
 import (
 	"errors"
-	"fmt"
 	"net/netip"
 	"strings"
 
@@ -34,7 +33,7 @@
 // counts as draining. The error is a *Rejection.
 func ParseHeartbeat(id string, body []byte) (Heartbeat, error) {
 	if len(body) > maxBodyBytes {
-		return Heartbeat{}, reject(TooLarge, fmt.Sprintf("the body has %d bytes, the limit is %d", len(body), maxBodyBytes))
+		return Heartbeat{}, reject(TooLarge, "body")
 	}
 	heartbeat := Heartbeat{}
 	err := jsonfield.EachMember(body, func(decoder *jx.Decoder, key string) error {
@@ -99,19 +98,19 @@
 		return reject(MissingField, "id")
 	}
 	if len(heartbeat.ID) > maxNameBytes {
-		return reject(TooLarge, fmt.Sprintf("id has %d bytes, the limit is %d", len(heartbeat.ID), maxNameBytes))
+		return reject(TooLarge, "id")
 	}
 	if heartbeat.Service == "" {
 		return reject(MissingField, "service")
 	}
 	if strings.HasPrefix(heartbeat.Service, reservedPrefix) {
-		return reject(InvalidField, fmt.Sprintf("service %q begins with %q, which is reserved", heartbeat.Service, reservedPrefix))
+		return reject(InvalidField, "service is reserved")
 	}
 	if heartbeat.Address == "" {
 		return reject(MissingField, "address")
 	}
 	if _, err := netip.ParseAddrPort(heartbeat.Address); err != nil {
-		return reject(InvalidField, fmt.Sprintf("address %q is not IP:PORT", heartbeat.Address))
+		return reject(InvalidField, "address is not IP:PORT")
 	}
 	return nil
 }
@@ -122,7 +121,7 @@
 		return err
 	}
 	if len(*target) > maxNameBytes {
-		return reject(TooLarge, fmt.Sprintf("%s has %d bytes, the limit is %d", key, len(*target), maxNameBytes))
+		return reject(TooLarge, key)
 	}
 	return nil
 }
@@ -134,7 +133,7 @@
 		return 0, err
 	}
 	if value < -maxAbsNumber || value > maxAbsNumber {
-		return 0, reject(InvalidField, fmt.Sprintf("%s is %g, which is out of range", key, value))
+		return 0, reject(InvalidField, key+" is out of range")
 	}
 	return int64(value), nil
 }
@@ -196,7 +195,7 @@
 	}
 	return decoder.Arr(func(decoder *jx.Decoder) error {
 		if len(*target) == maxModels {
-			return reject(TooLarge, fmt.Sprintf("%s has more than %d entries", key, maxModels))
+			return reject(TooLarge, key)
 		}
 		model, err := readModel(decoder, key)
 		*target = append(*target, model)
@@ -208,7 +207,7 @@
 func readModel(decoder *jx.Decoder, list string) (Model, error) {
 	model := Model{}
 	if decoder.Next() != jx.Object {
-		return model, reject(InvalidField, list+" has an entry that is not an object")
+		return model, reject(InvalidField, list+" holds something that is not an object")
 	}
 	err := decoder.Obj(func(decoder *jx.Decoder, key string) error {
 		switch key {
@@ -236,7 +235,7 @@
 	}
 	return decoder.Arr(func(decoder *jx.Decoder) error {
 		if len(*target) == maxAdapters {
-			return reject(TooLarge, fmt.Sprintf("%s has more than %d entries", key, maxAdapters))
+			return reject(TooLarge, key)
 		}
 		name := ""
 		err := readString(decoder, key, &name)
--- a/internal/node/batch/jobs/control.go
+++ b/internal/node/batch/jobs/control.go
@@ -49,7 +49,7 @@
 		done(drmaa.InvalidStateError("the job is %s", job.State))
 		return
 	case job.stage == inCore && m.core.MayHaveRun(job.operation):
-		done(drmaa.InvalidStateError("the job may have been sent to a prep worker"))
+		done(drmaa.InvalidStateError("the job has gone to a prep worker"))
 		return
 	}
 	if job.stage == inCore {
@@ -201,7 +201,7 @@
 func (m *Manager) reap(selector ReapSelector, inMemory []*Job, done func(int, *drmaa.Error)) {
 	for _, job := range inMemory {
 		if !job.State.Final() {
-			done(0, drmaa.InvalidStateError("the job is %s; only an ended job can be reaped", job.State))
+			done(0, drmaa.InvalidStateError("the job is %s; only one that has ended is reaped", job.State))
 			return
 		}
 	}
--- a/internal/node/batch/jobs/events.go
+++ b/internal/node/batch/jobs/events.go
@@ -65,13 +65,13 @@
 	case cursor == "oldest":
 		from = s.first
 	case !ok:
-		return nil, drmaa.InvalidArgumentError("cursor", "%q is not a cursor of this stream", cursor)
+		return nil, drmaa.InvalidArgumentError("cursor", "%q is no cursor of this stream", cursor)
 	case epoch != m.streamEpoch:
 		from, out.Missed = s.first, -1
 	default:
 		n, err := strconv.ParseUint(digits, 36, 64)
 		if err != nil || n > next {
-			return nil, drmaa.InvalidArgumentError("cursor", "%q is not a cursor of this stream", cursor)
+			return nil, drmaa.InvalidArgumentError("cursor", "%q is no cursor of this stream", cursor)
 		}
 		from = max(n, s.first)
 		out.Missed = int64(from - n)
--- a/internal/node/batch/jobs/job.go
+++ b/internal/node/batch/jobs/job.go
@@ -181,7 +181,7 @@
 	case job.MayHaveRun:
 		return "its deadline passed"
 	case job.retryAfter > 0:
-		return "refused until its deadline; it never ran; a new submission may be accepted after " + job.retryAfter.String()
+		return "refused until its deadline; it never ran; a new one may be taken after " + job.retryAfter.String()
 	}
 	return "its deadline passed while it waited; it never ran"
 }
--- a/internal/node/batch/jobs/manager.go
+++ b/internal/node/batch/jobs/manager.go
@@ -226,7 +226,7 @@
 	class, known := m.classes[record.Template.RemoteCommand]
 	switch {
 	case !known:
-		m.endJob(job, drmaa.Failed, "the job's class is no longer configured", record.Sent)
+		m.endJob(job, drmaa.Failed, "the class is gone", record.Sent)
 	case record.Sent && class.NonIdempotent:
 		m.endJob(job, drmaa.Failed, "the node restarted; the job may have run and is not run again", true)
 	default:
--- a/internal/node/batch/jobs/run.go
+++ b/internal/node/batch/jobs/run.go
@@ -264,7 +264,7 @@
 		// class passed, for example because the store stalled in BeforeSend.
 		m.requeue(job, answer.RetryAfter)
 	case answer.Verdict == routing.Rejected:
-		m.endJob(job, drmaa.Failed, "a prep worker rejected the job as invalid", job.MayHaveRun)
+		m.endJob(job, drmaa.Failed, "the prep workers can make nothing of the job", job.MayHaveRun)
 	default:
 		reason := "the job failed"
 		if n := len(job.Steps); n > 0 && job.Steps[n-1].Outcome == outcomeNames[balance.Errored] {
--- a/internal/node/batch/jobs/session.go
+++ b/internal/node/batch/jobs/session.go
@@ -8,7 +8,7 @@
 	"ospreybend/drmaa"
 )
 
-var sessionExists = &drmaa.Error{Status: 409, Name: drmaa.InvalidArgument, Attribute: "name", Message: "the session already exists"}
+var sessionExists = &drmaa.Error{Status: 409, Name: drmaa.InvalidArgument, Attribute: "name", Message: "the session is there already"}
 
 // Sessions returns a tenant's sessions, sorted by name.
 func (m *Manager) Sessions(t *TenantState) []drmaa.Session {
--- a/internal/node/batch/jobs/submit.go
+++ b/internal/node/batch/jobs/submit.go
@@ -18,10 +18,10 @@
 	UnknownArray   = &drmaa.Error{Status: 404, Name: drmaa.InvalidArgument, Message: "no such job array"}
 	UnknownSession = &drmaa.Error{Status: 404, Name: drmaa.InvalidSession, Message: "no such session, or it is closed"}
 	StoreFailed    = &drmaa.Error{Status: 500, Name: drmaa.Internal, Message: "the store of record failed"}
-	StoreQueueFull = drmaa.TryLaterError(defaultRetryAfter, "the store of record has too many queued calls")
+	StoreQueueFull = drmaa.TryLaterError(defaultRetryAfter, "the store of record is behind")
 
 	keyReused = &drmaa.Error{Status: 409, Name: drmaa.InvalidArgument, Attribute: "x_clientKey",
-		Message: "the client key belongs to a submission with different content"}
+		Message: "the client key stands for a submission of different content"}
 )
 
 // pendingSubmission is a submission that is being stored.
--- a/internal/node/batch/jobs/undecided.go
+++ b/internal/node/batch/jobs/undecided.go
@@ -42,7 +42,7 @@
 	})
 }
 
-var notUndecided = drmaa.InvalidStateError("the job is not undecided or has already been settled")
+var notUndecided = drmaa.InvalidStateError("the job is not undecided, or has been settled")
 
 // Settle stores an operator's decision on an undecided job. A job can be settled only once.
 func (m *Manager) Settle(id string, ran bool, reason string, done func(*drmaa.Error)) {
--- a/internal/node/batch/jobs/wait.go
+++ b/internal/node/batch/jobs/wait.go
@@ -81,7 +81,7 @@
 	w := &waiter{started: started, done: done}
 	m.openWaits++
 	w.timeout = m.timers.Add(m.fromNow(timeout), func() {
-		e := &drmaa.Error{Status: 504, Name: drmaa.Timeout, Message: "the timeout of the wait has passed"}
+		e := &drmaa.Error{Status: 504, Name: drmaa.Timeout, Message: "the wait's own timeout has passed"}
 		if about != nil {
 			e.Job = m.View(about)
 		}
--- a/internal/node/zones/replica/messages.go
+++ b/internal/node/zones/replica/messages.go
@@ -97,7 +97,7 @@
 }
 
 func (r *Replica) foreignFleetError(fleet string) error {
-	return fmt.Errorf("fleet: this voter belongs to fleet %q, not %q", r.config.Fleet, fleet)
+	return fmt.Errorf("fleet: this is %q, not %q", r.config.Fleet, fleet)
 }
 
 // mayGrantLease reports whether the table applied here was the committed one no longer ago than an election
--- a/internal/node/zones/replica/pending.go
+++ b/internal/node/zones/replica/pending.go
@@ -31,7 +31,7 @@
 		return
 	}
 	if override.Action == commands.OverrideEvacuate && !r.otherZoneServes(override.Zone) {
-		done(fmt.Errorf("zone: %q is the last serving zone and cannot be evacuated", override.Zone))
+		done(fmt.Errorf("zone: %q is the last that takes work", override.Zone))
 		return
 	}
 	r.submit(now, commands.Command{Override: &override}, now+r.config.Settings.CommitTimeout, done)
--- a/internal/node/zones/replica/replica.go
+++ b/internal/node/zones/replica/replica.go
@@ -145,9 +145,9 @@
 
 // ErrOutcomeUnknown is returned for a command that was not seen committed within CommitTimeout. It may
 // still be committed.
-var ErrOutcomeUnknown = errors.New("the command was not confirmed in time; it may or may not take effect") // shown to operators
+var ErrOutcomeUnknown = errors.New("no word on the order in time: it may have been taken or not") // shown to operators
 
-var errUnnamedProcess = errors.New("name, zone: a report must contain both")
+var errUnnamedProcess = errors.New("name and zone: a report has both")
 
 // New returns a replica that continues from its stored state and registers its start in the log.
 func New(now time.Duration, config Config, stored replicatedlog.StoredState) (*Replica, error) {
--- a/internal/node/zones/replicatedlog/log.go
+++ b/internal/node/zones/replicatedlog/log.go
@@ -30,9 +30,9 @@
 
 // Errors of proposals.
 var (
-	ErrNotLeader     = errors.New("this voter is not the leader")
-	ErrBusy          = errors.New("the log cannot accept a proposal now") // too many uncommitted entries, or a membership change is in progress
-	ErrInvalidChange = errors.New("a membership change must add or remove exactly one voter")
+	ErrNotLeader     = errors.New("this voter does not lead")
+	ErrBusy          = errors.New("the log accepts no command now") // too many uncommitted entries, or a membership change is in progress
+	ErrInvalidChange = errors.New("one voter is added or removed at a time")
 )
 
 // ErrAcknowledgedLost is returned when a voter's log ends before the last entry that it has acknowledged, for example
--- a/internal/node/zones/server/server.go
+++ b/internal/node/zones/server/server.go
@@ -176,7 +176,7 @@
 	}
 }
 
-var errShuttingDown = errors.New("this voter is shutting down") // shown to operators
+var errShuttingDown = errors.New("this voter leaves") // shown to operators
 
 // post runs call on the event loop. It returns when the loop has accepted it.
 func (s *Server) post(ctx context.Context, call func(now time.Duration)) error {
