--- a/internal/util/http1/body.go
+++ b/internal/util/http1/body.go
@@ -8,13 +8,14 @@
 
 const chunkEndBytes = len("\r\n")
 
-// BodyState is the progress of reading a body. It is a value of its own so that a hot restart can hand it over to another process.
+// BodyState is the progress of reading a body. It is separate from BodyReader so that a hot restart can transfer it to another
+// process.
 type BodyState struct {
-	Remaining  int  // bytes left of a body of known length, or of the current chunk
+	Remaining  int  // bytes not yet read of a body of known length, or of the current chunk
 	Chunked    bool // the body has the chunked transfer coding
-	UntilClose bool // the body ends with the connection; the caller sets Done then
-	Done       bool // the body is complete, with its trailer
-	AtChunkEnd bool // the line end behind a chunk's data comes next
+	UntilClose bool // the body ends when the connection is closed; the caller then sets Done
+	Done       bool // the body has been read to its end, including its trailer
+	AtChunkEnd bool // the next bytes are the CRLF after a chunk's data
 }
 
 // BodyReader decodes the framing of a body incrementally.
@@ -32,7 +33,7 @@
 }
 
 // NewResponseBodyReader returns a reader for the body of a response with the given head, to any request but HEAD. Interim
-// responses (1xx) have no body: callers skip them before.
+// responses (1xx) have no body; callers skip them beforehand.
 func NewResponseBodyReader(head *Head, rules *ParseRules) BodyReader {
 	if head.Status == http.StatusNoContent || head.Status == http.StatusNotModified || head.ContentLength == 0 {
 		return BodyReader{BodyState{Done: true}, rules}
@@ -40,6 +41,7 @@
 	return newFramedBodyReader(head, rules)
 }
 
+// newFramedBodyReader returns a reader for a body whose end is given by ContentLength.
 func newFramedBodyReader(head *Head, rules *ParseRules) BodyReader {
 	switch head.ContentLength {
 	case LengthChunked:
@@ -51,7 +53,7 @@
 }
 
 // Next returns the next part of the body, as a slice of in, and the number of bytes of in that were consumed. used is 0 if more
-// bytes are needed or the body is complete. data may be empty though bytes were consumed, for framing.
+// bytes are needed or the body is complete. data is empty if the consumed bytes are framing only.
 func (b *BodyReader) Next(in []byte) (data []byte, used int, statusErr *StatusError) {
 	if b.Done || len(in) == 0 {
 		return nil, 0, nil
@@ -69,8 +71,8 @@
 	return in[:used], used, nil
 }
 
-// readChunkBoundary reads the framing between the data of two chunks. The data of a chunk is handed on before the chunk is
-// complete, since its sender may stop at any byte.
+// readChunkBoundary reads the framing between the data of two chunks. Next returns the data of a chunk before the chunk is
+// complete, since the sender may pause after any byte.
 func (b *BodyReader) readChunkBoundary(in []byte) (used int, statusErr *StatusError) {
 	if b.AtChunkEnd {
 		return b.readChunkEnd(in)
@@ -85,6 +87,7 @@
 	return end, statusErr
 }
 
+// readChunkEnd reads the CRLF after the data of a chunk.
 func (b *BodyReader) readChunkEnd(in []byte) (used int, statusErr *StatusError) {
 	if len(in) < chunkEndBytes {
 		return 0, nil
@@ -96,8 +99,8 @@
 	return chunkEndBytes, nil
 }
 
-// parseChunkSize parses the line before a chunk: its size in hexadecimal, and extensions, which are ignored. used is 0 if more
-// bytes are needed.
+// parseChunkSize parses the line before the data of a chunk: the size in hexadecimal, and extensions, which are ignored. used is
+// 0 if more bytes are needed.
 func parseChunkSize(in []byte, rules *ParseRules) (size, used int, statusErr *StatusError) {
 	line, used, statusErr := cutLine(in, rules)
 	if statusErr != nil {
@@ -125,8 +128,8 @@
 	return int(n), used, nil
 }
 
-// skipTrailer skips the trailer that follows the last chunk, from offset on. done reports whether the body is complete, and end is
-// the offset behind it; end is 0 if more bytes are needed.
+// skipTrailer skips the trailer after the last chunk; offset is where the trailer starts. done reports whether the body is complete,
+// and end is the offset after it; end is 0 if more bytes are needed.
 func skipTrailer(in []byte, offset int, rules *ParseRules) (end int, done bool, statusErr *StatusError) {
 	for {
 		line, length, statusErr := cutLine(in[offset:], rules)
--- a/internal/util/http1/head.go
+++ b/internal/util/http1/head.go
@@ -9,18 +9,19 @@
 
 // Values of Head.ContentLength that are not a length.
 const (
-	// LengthChunked stands for a body with "Transfer-Encoding: chunked".
+	// LengthChunked means a body with "Transfer-Encoding: chunked".
 	LengthChunked = -1
-	// LengthNone stands for a message with neither a length nor chunks: a request has no body then, and the body of a response
-	// is delimited by the end of the connection (RFC 9112, section 6.3).
+	// LengthNone means a message with neither a Content-Length nor chunked coding: such a request has no body, and the body of
+	// such a response is delimited by the end of the connection (RFC 9112, section 6.3).
 	LengthNone = -2
 )
 
 const (
 	decimal     = 10
 	hexadecimal = 16
-	lengthBits  = 31 // of the length of a body or a chunk: it must fit into an int of 32 bits
-	// maxLengthDigits is the most digits of a Content-Length that is answered as too large, and not as malformed.
+	lengthBits  = 31 // bits of the length of a body or a chunk, which must fit into a 32-bit int
+	// maxLengthDigits is the number of digits up to which strict rules reject a Content-Length out of range as too large (413).
+	// Otherwise it is rejected as malformed (400).
 	maxLengthDigits = 18
 )
 
@@ -29,16 +30,16 @@
 	errorHeaderTooLong = "the header is too long"
 )
 
-// ParseRules are the limits of a message and how strictly it is parsed.
+// ParseRules are the size limits of a message and the strictness of its parser.
 type ParseRules struct {
-	MaxHeadBytes int // of the start line and the header, line ends included
-	MaxBodyBytes int // of a chunk; 0 stands for no limit. Limits on whole bodies are the caller's
+	MaxHeadBytes int // limit of the start line and the header, line ends included
+	MaxBodyBytes int // limit of one chunk; 0 means no limit. Callers limit whole bodies
 	// Strict rejects what another parser might read differently: line ends without CR, white space within chunk sizes,
 	// requests without exactly one Host, and any transfer coding but chunked.
 	Strict bool
 }
 
-// StatusError is the reason why a message cannot be read, with the status code that a server answers it with.
+// StatusError reports why a message was rejected, with the status code of the response that a server sends for it.
 type StatusError struct {
 	Status int
 	Reason string
@@ -50,15 +51,15 @@
 // BadMessage returns a StatusError with status 400.
 func BadMessage(reason string) *StatusError { return &StatusError{http.StatusBadRequest, reason} }
 
-// RawHeaderField is a header field whose name and value are slices of the buffer that was parsed.
+// RawHeaderField is a header field whose name and value are slices of the parsed buffer.
 type RawHeaderField struct{ Name, Value []byte }
 
-// Head is the start line and the header of a message. Its slices refer to the buffer that was parsed.
+// Head is the start line and the header of a message. Its slices refer to the parsed buffer.
 type Head struct {
-	Method, Target []byte // of a request
-	Status         int    // of a response
+	Method, Target []byte // only in requests
+	Status         int    // only in responses
 	RawHeader      []RawHeaderField
-	ContentLength  int  // bytes of the body, or LengthChunked, or LengthNone
+	ContentLength  int  // length of the body in bytes, LengthChunked or LengthNone
 	Close          bool // the sender closes the connection after this message
 	HTTP10         bool // the message is HTTP/1.0
 }
@@ -82,7 +83,7 @@
 	return nil
 }
 
-// ExpectsContinue reports whether the client waits for an interim response before it sends the body.
+// ExpectsContinue reports whether the client waits for a 100 (Continue) response before it sends the body.
 func (h *Head) ExpectsContinue() bool { return EqualFold(h.Get("Expect"), "100-continue") }
 
 // Header returns a copy of the header fields that does not refer to the buffer.
@@ -94,8 +95,8 @@
 	return header
 }
 
-// ParseHead parses a start line and a header from the beginning of in into head. used is the number of bytes of the head with its
-// blank line, or 0 if more bytes are needed.
+// ParseHead parses the start line and the header at the beginning of in into head. used is the length of the head in bytes,
+// including its blank line, or 0 if more bytes are needed.
 func ParseHead(kind MessageKind, in []byte, rules *ParseRules, head *Head) (used int, statusErr *StatusError) {
 	offset := 0
 	for lines := 0; ; lines++ {
@@ -126,14 +127,15 @@
 	}
 }
 
-// cutLine returns the first line of in without its line end. used is the line's length with it, or 0 if more bytes are needed.
+// cutLine returns the first line of in without its line end. used is the length of the line with its line end, or 0 if more bytes
+// are needed.
 func cutLine(in []byte, rules *ParseRules) (line []byte, used int, statusErr *StatusError) {
 	end := bytes.IndexByte(in, '\n')
 	if end < 0 {
 		return nil, 0, nil
 	}
-	line, returned := bytes.CutSuffix(in[:end], []byte{'\r'})
-	if rules.Strict && !returned {
+	line, hasCR := bytes.CutSuffix(in[:end], []byte{'\r'})
+	if rules.Strict && !hasCR {
 		return nil, 0, BadMessage("a line ends without a carriage return")
 	}
 	return line, end + 1, nil
@@ -149,7 +151,7 @@
 
 func isControl(r rune) bool { return r < ' ' && r != '\t' || r == 0x7f }
 
-// IsToken reports whether b is a token, that is, may be a method or the name of a header field (RFC 9110, section 5.6.2).
+// IsToken reports whether b is a token, the syntax of methods and header field names (RFC 9110, section 5.6.2).
 func IsToken[T ~string | ~[]byte](b T) bool {
 	for i := range len(b) {
 		c := b[i]
@@ -160,6 +162,7 @@
 	return len(b) > 0
 }
 
+// isSeparator reports whether c is a delimiter that a token must not contain.
 func isSeparator(c byte) bool {
 	switch c {
 	case '"', '(', ')', ',', '/', ':', ';', '<', '=', '>', '?', '@', '[', '\\', ']', '{', '}':
@@ -217,8 +220,8 @@
 	return nil
 }
 
-// parseFraming determines how the body is delimited, and whether the connection is closed after the message. A message whose
-// fields disagree is rejected: what one side takes for a body another may take for the next message.
+// parseFraming determines how the body is delimited and whether the connection is closed after the message. It rejects a message
+// with contradictory fields, since another parser could then read part of the body as the next message.
 func (h *Head) parseFraming(kind MessageKind, rules *ParseRules) *StatusError {
 	h.ContentLength, h.Close = LengthNone, h.HTTP10
 	for i := range h.RawHeader {
@@ -288,7 +291,7 @@
 	}
 }
 
-// checkHost checks that there is exactly one Host field, with a well-formed value.
+// checkHost checks that there is exactly one Host field and that its value is well-formed.
 func (h *Head) checkHost() *StatusError {
 	count := 0
 	for i := range h.RawHeader {
--- a/internal/util/http1/header.go
+++ b/internal/util/http1/header.go
@@ -1,10 +1,10 @@
 package http1
 
-// HeaderField is one header field, with the name and value as received.
+// HeaderField is one header field. Its name and value are kept as received.
 type HeaderField struct{ Name, Value string }
 
-// Header is a list of header fields in the order received. Unlike net/http.Header it keeps the order and the spelling of names,
-// so that a message can be forwarded unchanged. Names are compared without regard to case.
+// Header is a list of header fields in the order received. Unlike net/http.Header it preserves the order and the case of names, so
+// that a message can be forwarded unchanged. Names are compared case-insensitively.
 type Header []HeaderField
 
 // Get returns the value of the first field with the given name, or "" if there is none.
@@ -31,12 +31,12 @@
 	return matches
 }
 
-// With returns a copy in which the fields of the given name are replaced by one, at the end.
+// With returns a copy in which one field at the end replaces all fields of the given name.
 func (h Header) With(name, value string) Header {
 	return append(h.Without(name), HeaderField{name, value})
 }
 
-// Without returns a copy without the fields of the given name. It has room for one more field.
+// Without returns a copy without the fields of the given name. The copy has capacity for one more field.
 func (h Header) Without(name string) Header {
 	remaining := make(Header, 0, len(h)+1)
 	for _, field := range h {
@@ -47,7 +47,7 @@
 	return remaining
 }
 
-// EqualFold reports whether two field names are equal under ASCII case folding.
+// EqualFold reports whether two strings are equal under ASCII case folding.
 func EqualFold[A, B ~string | ~[]byte](a A, b B) bool {
 	if len(a) != len(b) {
 		return false
--- a/internal/util/http1/headreader.go
+++ b/internal/util/http1/headreader.go
@@ -5,29 +5,29 @@
 	"net/http"
 )
 
-// HeadReader parses one message head incrementally. Each call of Read is given all bytes received so far and continues where the
-// last one stopped, so that a peer that sends byte by byte does not cause the same bytes to be scanned again and again. The zero
-// value with Kind and Rules set is ready for use.
+// HeadReader parses one message head incrementally. Each call of Read gets all bytes received so far and continues where the
+// previous call stopped, so that bytes are not rescanned for every byte of a peer that sends byte by byte. Only Kind and Rules must
+// be set before use.
 type HeadReader struct {
 	Kind  MessageKind
 	Rules ParseRules
 
-	scanned       int  // offset up to which whole lines have been read
-	lineStart     int  // offset of the start line, behind empty lines
-	startLineRead bool // the start line was read and is well-formed
+	scanned       int  // offset after the last complete line that was scanned
+	lineStart     int  // offset of the start line, after any empty lines
+	startLineRead bool // the start line has been read
 }
 
 // Start returns the offset of the start line.
 func (r *HeadReader) Start() int { return r.lineStart }
 
-// Scanned returns the offset up to which the head has been read.
+// Scanned returns the offset up to which complete lines have been scanned.
 func (r *HeadReader) Scanned() int { return r.scanned }
 
-// Started reports whether in has a byte behind the empty lines that may precede a message.
+// Started reports whether in contains a byte after the empty lines that may precede a message.
 func (r *HeadReader) Started(in []byte) bool { return len(in) > r.lineStart }
 
 // Read parses the head from in, which holds all bytes of the message received so far. used is 0 if more bytes are needed. A
-// malformed start line is reported as soon as it is complete, before the header has come.
+// malformed start line is reported as soon as the line is complete, before the header has been received.
 func (r *HeadReader) Read(in []byte, head *Head) (used int, statusErr *StatusError) {
 	ready, statusErr := r.skipEmptyLines(in)
 	if statusErr != nil || !ready {
--- a/internal/util/http1/hopbyhop.go
+++ b/internal/util/http1/hopbyhop.go
@@ -4,12 +4,12 @@
 
 const proxyPrefix = "Proxy-"
 
-// hopByHopFields concern one connection only and are never forwarded (RFC 9110, section 7.6.1). Neither are fields whose names
-// begin with "Proxy-".
+// hopByHopFields are the fields that apply to a single connection and are never forwarded (RFC 9110, section 7.6.1). Fields whose
+// names begin with proxyPrefix are not forwarded either.
 var hopByHopFields = [...]string{"Connection", "Keep-Alive", "Transfer-Encoding", "TE", "Trailer", "Upgrade"}
 
-// endToEndFields are fields that the recipient of a message needs. A Connection field that lists one is in error and does not
-// remove it.
+// endToEndFields are fields that the final recipient needs. They are forwarded even if a Connection field lists them, which is an
+// error of the sender.
 var endToEndFields = [...]string{
 	"Host", "Content-Type", "Content-Encoding", "X-Request-Id",
 	"X-Request-Deadline", "X-Model", "X-Token-Count", "X-Prompt-Prefix",
@@ -25,8 +25,11 @@
 	return false
 }
 
-// HopByHop determines which fields of a message concern one connection only. The zero value knows the standard fields.
-type HopByHop struct{ listed []string }
+// HopByHop determines which fields of a message are hop-by-hop, that is, apply to a single connection. The zero value has the
+// standard fields only.
+type HopByHop struct {
+	connectionOptions []string // names listed by the Connection fields of the message
+}
 
 // HopByHopOf returns the hop-by-hop fields of a message: the standard ones, and those that its Connection fields list.
 func HopByHopOf(header Header) HopByHop {
@@ -37,7 +40,7 @@
 		}
 		for part := range strings.SplitSeq(header[i].Value, ",") {
 			if part = strings.TrimSpace(part); part != "" && !isEndToEnd(part) {
-				hopByHop.listed = append(hopByHop.listed, part)
+				hopByHop.connectionOptions = append(hopByHop.connectionOptions, part)
 			}
 		}
 	}
@@ -55,7 +58,7 @@
 	return endToEndHeader
 }
 
-// Contains reports whether the field of the given name concerns one connection only.
+// Contains reports whether the field with the given name is hop-by-hop.
 func (h HopByHop) Contains(name string) bool {
 	if len(name) > len(proxyPrefix) && EqualFold(name[:len(proxyPrefix)], proxyPrefix) {
 		return true
@@ -65,8 +68,8 @@
 			return true
 		}
 	}
-	for _, listed := range h.listed {
-		if EqualFold(name, listed) {
+	for _, option := range h.connectionOptions {
+		if EqualFold(name, option) {
 			return true
 		}
 	}
--- a/internal/util/http1/readbuffer.go
+++ b/internal/util/http1/readbuffer.go
@@ -1,37 +1,37 @@
 package http1
 
 const (
-	initialReadBytes = 4 << 10  // capacity of the first array
-	maxRetainedBytes = 16 << 10 // an empty buffer releases a larger array
+	initialReadBytes = 4 << 10  // initial capacity
+	maxRetainedBytes = 16 << 10 // capacity above which an empty buffer releases its array
 )
 
-// ReadBuffer holds the bytes received on a connection that have not been consumed. The zero value is an empty buffer.
+// ReadBuffer holds the bytes of a connection that were received but not yet consumed. The zero value is an empty buffer.
 type ReadBuffer struct{ bytes []byte }
 
 // Bytes returns the unconsumed bytes. The slice is valid until the next call of Free or Discard.
-func (i *ReadBuffer) Bytes() []byte { return i.bytes }
+func (b *ReadBuffer) Bytes() []byte { return b.bytes }
 
 // Len returns the number of unconsumed bytes.
-func (i *ReadBuffer) Len() int { return len(i.bytes) }
+func (b *ReadBuffer) Len() int { return len(b.bytes) }
 
-// Free returns space to read into, behind the unconsumed bytes. It is never empty; the array grows when it is full.
-func (i *ReadBuffer) Free() []byte {
-	if len(i.bytes) == cap(i.bytes) {
-		grown := make([]byte, len(i.bytes), max(2*cap(i.bytes), initialReadBytes))
-		copy(grown, i.bytes)
-		i.bytes = grown
+// Free returns the free space after the unconsumed bytes, to read into. It is never empty: a full buffer grows.
+func (b *ReadBuffer) Free() []byte {
+	if len(b.bytes) == cap(b.bytes) {
+		grown := make([]byte, len(b.bytes), max(2*cap(b.bytes), initialReadBytes))
+		copy(grown, b.bytes)
+		b.bytes = grown
 	}
-	return i.bytes[len(i.bytes):cap(i.bytes)]
+	return b.bytes[len(b.bytes):cap(b.bytes)]
 }
 
 // Extend adds the n bytes that were read into the slice returned by Free.
-func (i *ReadBuffer) Extend(n int) { i.bytes = i.bytes[:len(i.bytes)+n] }
+func (b *ReadBuffer) Extend(n int) { b.bytes = b.bytes[:len(b.bytes)+n] }
 
 // Discard consumes the first n bytes.
-func (i *ReadBuffer) Discard(n int) {
-	rest := copy(i.bytes, i.bytes[n:])
-	i.bytes = i.bytes[:rest]
-	if rest == 0 && cap(i.bytes) > maxRetainedBytes {
-		i.bytes = nil
+func (b *ReadBuffer) Discard(n int) {
+	rest := copy(b.bytes, b.bytes[n:])
+	b.bytes = b.bytes[:rest]
+	if rest == 0 && cap(b.bytes) > maxRetainedBytes {
+		b.bytes = nil
 	}
 }
--- a/internal/util/http1/write.go
+++ b/internal/util/http1/write.go
@@ -2,7 +2,7 @@
 
 import "strconv"
 
-// statusText has the reason phrases of status lines; unknown codes have none.
+// statusText maps status codes to reason phrases. Codes that are not listed are sent without a phrase.
 var statusText = map[int]string{200: "OK", 201: "Created", 202: "Accepted", 204: "No Content", 206: "Partial Content",
 	301: "Moved Permanently", 302: "Found", 303: "See Other", 304: "Not Modified", 307: "Temporary Redirect",
 	400: "Bad Request", 401: "Unauthorized", 403: "Forbidden", 404: "Not Found", 405: "Method Not Allowed",
@@ -47,13 +47,14 @@
 	return append(out, "\r\n"...)
 }
 
-// LastChunk is the end of a body in chunks, without a trailer.
+// LastChunk ends a chunked body that has no trailer.
 const LastChunk = "0\r\n\r\n"
 
-// ContinueLine is the interim response that asks a client to send its body.
+// ContinueLine is the interim response that tells a client to send the body.
 const ContinueLine = "HTTP/1.1 100 Continue\r\n\r\n"
 
-// IsFieldValue reports whether value may be sent as the value of a header field. Control characters could end the line early.
+// IsFieldValue reports whether value may be sent as the value of a header field. It rejects control characters, which could end
+// the header line early (header injection).
 func IsFieldValue(value string) bool {
 	for i := range len(value) {
 		if c := value[i]; c < ' ' && c != '\t' || c == 0x7f {
