--- a/internal/util/jsonfield/jsonfield.go
+++ b/internal/util/jsonfield/jsonfield.go
@@ -1,6 +1,7 @@
 // Package jsonfield reads single members of JSON objects that other programs wrote, with one function for each type of
-// value. A value of another type than expected gives a *TypeMismatchError, and null counts as the zero value. The packages
-// configuration and registry use it for operators' and workers' bodies. It does not map objects to structs.
+// value. A value of an unexpected type gives a *TypeMismatchError, and null is read as the zero value. Packages
+// configuration and registry decode the request bodies of operators and workers with it. It does not map objects to
+// structs.
 package jsonfield
 
 import (
@@ -11,10 +12,10 @@
 	"github.com/go-faster/jx"
 )
 
-// ErrTrailingData reports that something follows the end of the object.
+// ErrTrailingData reports that the input continues after the end of the object.
 var ErrTrailingData = errors.New("something follows the end")
 
-// TypeMismatchError reports that a member has a value of another type than expected.
+// TypeMismatchError reports that a member has a value of an unexpected type, or a number out of range.
 type TypeMismatchError struct {
 	Key     string // name of the member
 	Problem string // what is wrong with its value
@@ -24,8 +25,8 @@
 func (e *TypeMismatchError) Error() string { return e.Key + " " + e.Problem }
 
 // EachMember calls visit for each member of the JSON object in raw, in order. visit must consume the member's value from
-// the decoder. Errors: that of visit, the decoder's for malformed JSON, and ErrTrailingData if raw contains more than the
-// object.
+// the decoder. EachMember returns the error of visit, the decoder's error for malformed JSON, or ErrTrailingData if raw
+// contains more than the object.
 func EachMember(raw []byte, visit func(decoder *jx.Decoder, key string) error) error {
 	decoder := jx.DecodeBytes(raw)
 	if err := decoder.Obj(visit); err != nil {
@@ -37,7 +38,7 @@
 	return nil
 }
 
-// IsNull reports whether the next value is null, and consumes it if it is.
+// IsNull reports whether the next value is null, and consumes it in that case.
 func IsNull(decoder *jx.Decoder) bool {
 	if decoder.Next() != jx.Null {
 		return false
@@ -45,8 +46,8 @@
 	return decoder.Null() == nil
 }
 
-// String reads a string into the target. The result does not share memory with the input. The error is a
-// *TypeMismatchError or the decoder's.
+// String reads a string into target. The result does not share memory with the input. The error is a
+// *TypeMismatchError or that of the decoder.
 func String(decoder *jx.Decoder, key string, target *string) error {
 	*target = ""
 	if IsNull(decoder) {
@@ -63,7 +64,7 @@
 	return nil
 }
 
-// Bool reads true or false into the target. The error is a *TypeMismatchError or the decoder's.
+// Bool reads true or false into target. The error is a *TypeMismatchError or that of the decoder.
 func Bool(decoder *jx.Decoder, key string, target *bool) error {
 	*target = false
 	if IsNull(decoder) {
@@ -80,8 +81,8 @@
 	return nil
 }
 
-// Number reads a finite number into the target. The error is a *TypeMismatchError, also for a number out of the range of
-// float64, or the decoder's.
+// Number reads a finite number into target. The error is a *TypeMismatchError, also if the number is out of the range of
+// float64, or that of the decoder.
 func Number(decoder *jx.Decoder, key string, target *float64) error {
 	*target = 0
 	if IsNull(decoder) {
--- a/internal/util/jsonfield/jsonfield_test.go
+++ b/internal/util/jsonfield/jsonfield_test.go
@@ -7,21 +7,22 @@
 	"github.com/go-faster/jx"
 )
 
-// testObject is what a test object's members are read into.
+// testObject receives the members of the objects in these tests.
 type testObject struct {
 	text   string
 	flag   bool
 	number float64
 }
 
-func (r *testObject) member(decoder *jx.Decoder, key string) error {
+// readMember is a visit function for EachMember. It skips unknown members.
+func (o *testObject) readMember(decoder *jx.Decoder, key string) error {
 	switch key {
 	case "text":
-		return String(decoder, key, &r.text)
+		return String(decoder, key, &o.text)
 	case "flag":
-		return Bool(decoder, key, &r.flag)
+		return Bool(decoder, key, &o.flag)
 	case "number":
-		return Number(decoder, key, &r.number)
+		return Number(decoder, key, &o.number)
 	}
 	return decoder.Skip()
 }
@@ -36,8 +37,8 @@
 		if raw == ` {} ` {
 			got = testObject{}
 		}
-		if err := EachMember([]byte(raw), got.member); err != nil || got != want {
-			t.Errorf("%s: %+v, %v", raw, got, err)
+		if err := EachMember([]byte(raw), got.readMember); err != nil || got != want {
+			t.Errorf("%s: got %+v, error %v; want %+v, no error", raw, got, err, want)
 		}
 	}
 }
@@ -51,8 +52,8 @@
 	} {
 		var got testObject
 		var mismatch *TypeMismatchError
-		if err := EachMember([]byte(raw), got.member); !errors.As(err, &mismatch) || mismatch.Error() != want {
-			t.Errorf("%s: %v", raw, err)
+		if err := EachMember([]byte(raw), got.readMember); !errors.As(err, &mismatch) || mismatch.Error() != want {
+			t.Errorf("%s: got error %v, want a *TypeMismatchError with text %q", raw, err, want)
 		}
 	}
 }
@@ -60,27 +61,27 @@
 func TestEachMember_rejectsInvalidObjects(t *testing.T) {
 	for _, raw := range []string{``, `[]`, `{`, `{"text":"a"`, `{"text":"a}`, `nul`, `{"number":1e400}x`} {
 		var got testObject
-		if err := EachMember([]byte(raw), got.member); err == nil {
-			t.Errorf("%s was read", raw)
+		if err := EachMember([]byte(raw), got.readMember); err == nil {
+			t.Errorf("%q: got no error", raw)
 		}
 	}
 	for _, raw := range []string{`{}x`, `{}{}`, `{}]`} {
 		var got testObject
-		if err := EachMember([]byte(raw), got.member); !errors.Is(err, ErrTrailingData) {
-			t.Errorf("%s: %v", raw, err)
+		if err := EachMember([]byte(raw), got.readMember); !errors.Is(err, ErrTrailingData) {
+			t.Errorf("%s: got error %v, want ErrTrailingData", raw, err)
 		}
 	}
 }
 
-// A string that was read does not change with the memory that it was read from.
+// TestString_copiesInput checks that a string that was read does not change when its input is overwritten.
 func TestString_copiesInput(t *testing.T) {
 	raw := []byte(`{"text":"some text"}`)
 	var got testObject
-	if err := EachMember(raw, got.member); err != nil {
+	if err := EachMember(raw, got.readMember); err != nil {
 		t.Fatal(err)
 	}
 	clear(raw)
 	if got.text != "some text" {
-		t.Fatalf("%q", got.text)
+		t.Fatalf("string after its input was cleared: got %q, want \"some text\"", got.text)
 	}
 }
--- a/internal/util/logging/hertz.go
+++ b/internal/util/logging/hertz.go
@@ -6,7 +6,7 @@
 	"github.com/cloudwego/hertz/pkg/common/hlog"
 )
 
-// SilenceHertz turns off the HTTP library's own log, which is global to the process.
+// SilenceHertz turns off the log of the Hertz HTTP library, which is global to the process.
 var SilenceHertz = sync.OnceFunc(func() {
 	hlog.SetSilentMode(true)
 	hlog.SetLevel(hlog.LevelFatal)
--- a/internal/util/logging/logging.go
+++ b/internal/util/logging/logging.go
@@ -1,5 +1,5 @@
-// Package logging creates the logger of the fleet's processes, which writes JSON lines to standard error by zap. It does not
-// decide what is logged; each command creates one logger at its start and passes it to its packages.
+// Package logging creates the zap logger of the fleet's processes, which writes JSON lines to standard error. Each command
+// creates one logger at startup and passes it to the packages that it uses.
 package logging
 
 import (
@@ -9,8 +9,8 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// New returns a logger whose lines have the role and the node of the process. level is debug, info, warn or error; the error
-// is that of another level.
+// New returns a logger that adds the role and the node of the process to each line. level is the lowest level that is logged:
+// debug, info, warn or error. New returns an error for an unknown level.
 func New(level, role, node string) (*zap.Logger, error) {
 	minLevel, err := zapcore.ParseLevel(level)
 	if err != nil {
--- a/internal/util/resultcode/resultcode.go
+++ b/internal/util/resultcode/resultcode.go
@@ -1,6 +1,6 @@
-// Package resultcode defines the numbered results that the control plane answers with. Each package that produces
-// results owns a range of numbers and a Table of them (configuration, registry and server); docs/ERRORS.md lists
-// them all. The package does not write HTTP responses: its callers turn an Entry or a Rejection into one.
+// Package resultcode defines the numbered result codes in responses of the control plane. Each package that produces
+// results (configuration, registry and server) owns a range of numbers and a Table of them; docs/ERRORS.md lists all
+// codes. The package does not write HTTP responses: callers convert an Entry or a Rejection to one.
 package resultcode
 
 import (
@@ -14,7 +14,7 @@
 // Entry describes one code of a table.
 type Entry struct {
 	Code       Code
-	Name       string // snake case, as it appears in answers, logs and metrics
+	Name       string // in snake case, as it appears in responses, logs and metrics
 	HTTPStatus int
 	Text       string
 }
@@ -22,16 +22,16 @@
 // Table lists the codes of one package in ascending order.
 type Table []Entry
 
-// names maps the codes of all tables to their names. It is filled during package initialization and only read
-// afterwards, so it needs no lock.
+// names maps the codes of all tables to their names. It is written only during package initialization, so it needs no
+// lock.
 var names = map[Code]string{}
 
 // NewTable returns a table of the entries and registers the names of their codes. It must be called during package
-// initialization. It panics if a code is registered already, since that is a programming error.
+// initialization. It panics if a code is already registered, which is a programming error.
 func NewTable(entries ...Entry) Table {
 	for _, entry := range entries {
 		if existing, exists := names[entry.Code]; exists {
-			panic(fmt.Sprintf("resultcode: %d is %s and %s", int(entry.Code), existing, entry.Name))
+			panic(fmt.Sprintf("resultcode: code %d is registered twice, as %s and as %s", int(entry.Code), existing, entry.Name))
 		}
 		names[entry.Code] = entry.Name
 	}
@@ -41,7 +41,7 @@
 // Entries returns a copy of the table's entries.
 func (t Table) Entries() []Entry { return append([]Entry(nil), t...) }
 
-// Entry returns the entry of a code. For a code that the table does not contain it returns an entry with status 500.
+// Entry returns the entry of a code, or an entry with status 500 if the table does not contain the code.
 func (t Table) Entry(code Code) Entry {
 	for _, candidate := range t {
 		if candidate.Code == code {
@@ -51,7 +51,7 @@
 	return Entry{Code: code, Name: code.String(), HTTPStatus: http.StatusInternalServerError}
 }
 
-// String returns the name of the code, or "unknown" for a code of no table.
+// String returns the name of the code, or "unknown" if no table contains it.
 func (c Code) String() string {
 	if name, exists := names[c]; exists {
 		return name
@@ -59,14 +59,14 @@
 	return "unknown"
 }
 
-// Rejection is the error for a request, a change or a stored record that was not accepted.
+// Rejection is the error for a request, a change or a stored record that was rejected.
 type Rejection struct {
 	HTTPStatus int
 	Code       Code
-	Text       string // the text of the code's entry and, after a colon, the part of the input it applies to
+	Text       string // text of the code's entry and, after a colon, the part of the input that it applies to
 }
 
-// Error returns the number, the name and the text.
+// Error returns the number, the name and the text of the code.
 func (r *Rejection) Error() string { return fmt.Sprintf("%d %s: %s", int(r.Code), r.Code, r.Text) }
 
 // Reject returns the rejection with the given code. The detail names the part of the input that the code applies to;
--- a/internal/util/stats/doc.go
+++ b/internal/util/stats/doc.go
@@ -1,7 +1,7 @@
-// Package stats has the statistics that predictions are made of: means, failure rates and regressions that
-// forget old samples, windows of samples that expire, shares of keys, and hashes. It makes no decisions
-// and has no clock: instants are arguments. Packages estimate, selection and balance use it.
+// Package stats has the statistics on which predictions are based: means, failure rates and regressions that
+// discount old samples, windows of samples that expire, key frequencies, and hashes. It reads no clock:
+// callers pass the current time. Packages estimate, selection and balance use it.
 //
-// Samples are added within the path of each request, so nothing here allocates but growing windows and
-// maps. No type is safe for concurrent use.
+// Samples are added while requests are handled, so that only growing windows and maps allocate. No type is
+// safe for concurrent use.
 package stats
--- a/internal/util/stats/map.go
+++ b/internal/util/stats/map.go
@@ -1,6 +1,6 @@
 package stats
 
-// Of returns the map's value for a key, which it creates if there is none.
+// Of returns the value for a key of the map. It adds a zero value if the map has none for the key.
 func Of[K comparable, V any](m map[K]*V, key K) *V {
 	if m[key] == nil {
 		m[key] = new(V)
--- a/internal/util/stats/stats_test.go
+++ b/internal/util/stats/stats_test.go
@@ -24,22 +24,22 @@
 		w.Add(time.Duration(x)*time.Second/10, float64(x), 3-0.2*float64(x), testCapacity)
 	}
 	l := w.Fit(time.Second, testTTL, -1)
-	assertNear(t, "slope", l.B, -0.2, 1e-9)
-	assertNear(t, "at 5", l.At(5), 2, 1e-9)
+	assertNear(t, "slope", l.Slope, -0.2, 1e-9)
+	assertNear(t, "value at 5", l.At(5), 2, 1e-9)
 }
 
 func TestFitLine_degenerateSamples(t *testing.T) {
 	one := fitLine([]Sample{{0, 4, 2}}, -1)
-	assertNear(t, "one sample", one.At(100), 2, 0)
+	assertNear(t, "line through one sample", one.At(100), 2, 0)
 	same := fitLine([]Sample{{0, 4, 1}, {0, 4, 2}, {0, 4, 3}}, -1)
-	assertNear(t, "equal loads", same.At(0), 2, 1e-9)
+	assertNear(t, "three samples with equal x", same.At(0), 2, 1e-9)
 	wrong := fitLine([]Sample{{0, 0, 1}, {0, 1, 2}, {0, 2, 3}}, -1)
-	assertNear(t, "slope against its sign", wrong.B, 0, 0)
+	assertNear(t, "slope against its sign", wrong.Slope, 0, 0)
 	steep := fitLine([]Sample{{0, 0, 4}, {0, 1, 2}, {0, 2, 1}}, -1)
-	assertNear(t, "far below", steep.At(1000), 0.5, 1e-9)
-	assertNear(t, "far above", steep.At(-1000), 8, 1e-9)
+	assertNear(t, "steep line far below its lowest y", steep.At(1000), 0.5, 1e-9)
+	assertNear(t, "steep line far above its highest y", steep.At(-1000), 8, 1e-9)
 	if none := fitLine(nil, 1); none.N != 0 {
-		t.Errorf("no samples: n is %v", none.N)
+		t.Errorf("fitLine without samples: got N %v, want 0", none.N)
 	}
 }
 
@@ -47,10 +47,10 @@
 	var w Window
 	w.Add(0, 1, 9, testCapacity)
 	w.Add(5*time.Second, 1, 3, testCapacity)
-	assertNear(t, "both", w.Fit(6*time.Second, testTTL, -1).At(1), 6, 1e-9)
-	assertNear(t, "the first expired", w.Fit(testTTL, testTTL, -1).At(1), 3, 1e-9)
+	assertNear(t, "mean of both samples", w.Fit(6*time.Second, testTTL, -1).At(1), 6, 1e-9)
+	assertNear(t, "first sample expired", w.Fit(testTTL, testTTL, -1).At(1), 3, 1e-9)
 	if l := w.Fit(20*time.Second, testTTL, -1); l.N != 0 {
-		t.Errorf("all expired: %v samples left", l.N)
+		t.Errorf("Fit after all samples expired: got N %v, want 0", l.N)
 	}
 }
 
@@ -60,7 +60,7 @@
 		w.Add(time.Duration(i), 0, float64(i), testCapacity)
 	}
 	if len(w.Samples) != testCapacity {
-		t.Errorf("%d samples, want %d", len(w.Samples), testCapacity)
+		t.Errorf("window holds %d samples, want %d", len(w.Samples), testCapacity)
 	}
 }
 
@@ -78,43 +78,43 @@
 }
 
 func TestFailureRate_Probability_forgets(t *testing.T) {
-	var o FailureRate
-	o.Add(0, testTTL, true)
-	o.Add(0, testTTL, false)
-	if c := o.Probability(0, testTTL, 0, 0); c != 0.5 {
-		t.Errorf("one of two: %v", c)
+	var r FailureRate
+	r.Add(0, testTTL, true)
+	r.Add(0, testTTL, false)
+	if p := r.Probability(0, testTTL, 0, 0); p != 0.5 {
+		t.Errorf("probability after one failure in two: got %v, want 0.5", p)
 	}
-	if c := o.Probability(0, testTTL, 0.2, 2); math.Abs(c-0.35) > 1e-9 {
-		t.Errorf("shrunk to 0.2: %v", c)
+	if p := r.Probability(0, testTTL, 0.2, 2); math.Abs(p-0.35) > 1e-9 {
+		t.Errorf("probability with prior 0.2: got %v, want 0.35", p)
 	}
-	if c := o.Probability(100*testTTL, testTTL, 0.2, 2); math.Abs(c-0.2) > 1e-9 {
-		t.Errorf("after a long time: %v", c)
+	if p := r.Probability(100*testTTL, testTTL, 0.2, 2); math.Abs(p-0.2) > 1e-9 {
+		t.Errorf("probability after 100 time constants: got %v, want the prior 0.2", p)
 	}
-	o.Add(testTTL, testTTL, false)
-	if want := math.Exp(-1) / (2*math.Exp(-1) + 1); math.Abs(o.Probability(testTTL, testTTL, 0, 0)-want) > 1e-9 {
-		t.Errorf("%v, not %v", o.Probability(testTTL, testTTL, 0, 0), want)
+	r.Add(testTTL, testTTL, false)
+	if want := math.Exp(-1) / (2*math.Exp(-1) + 1); math.Abs(r.Probability(testTTL, testTTL, 0, 0)-want) > 1e-9 {
+		t.Errorf("probability after one time constant and a success: got %v, want %v", r.Probability(testTTL, testTTL, 0, 0), want)
 	}
 }
 
 func TestShares_Add(t *testing.T) {
 	var s Shares
 	if got := s.Add(7, 100, 4); got != 0 {
-		t.Errorf("the first key has a share of %v", got)
+		t.Errorf("share of the first key: got %v, want 0", got)
 	}
 	for range 3 {
 		s.Add(7, 100, 4)
 		s.Add(8, 100, 4)
 	}
 	if got := s.Add(7, 100, 4); math.Abs(got-4./11) > 1e-9 {
-		t.Errorf("four of seven and four others: %v", got)
+		t.Errorf("share of a key with 4 of 7 counts and prior 4: got %v, want %v", got, 4./11)
 	}
-	for key := range uint64(10000) { // many that occur once each
+	for key := range uint64(10000) { // each occurs once
 		s.Add(1000+key, 100, 4)
 	}
 	if len(s.counts) > 100 {
-		t.Errorf("%d keys are counted", len(s.counts))
+		t.Errorf("%d keys are counted, want at most 100", len(s.counts))
 	}
 	if got := s.Add(7, 100, 4); got != 0 {
-		t.Errorf("a key that has not occurred for long has a share of %v", got)
+		t.Errorf("share of a key that has not occurred for 10000 counts: got %v, want 0", got)
 	}
 }
--- a/internal/util/stats/window.go
+++ b/internal/util/stats/window.go
@@ -13,7 +13,7 @@
 	fitValid    bool
 }
 
-// Add adds a sample. If there are capacity samples already, the oldest is dropped.
+// Add adds a sample. If the window already has capacity samples, the oldest is dropped.
 func (w *Window) Add(now time.Duration, x, y float64, capacity int) {
 	if len(w.Samples) == capacity {
 		copy(w.Samples, w.Samples[1:])
@@ -23,8 +23,8 @@
 	w.fitValid = false
 }
 
-// Fit drops the samples that are older than ttl and returns the least-squares line over the rest. Its
-// slope is 0 where it would have the sign opposite to sign; a sign of 0 allows both.
+// Fit drops the samples that are at least ttl old and returns the least-squares line over the rest. The
+// slope is 0 if its sign would be opposite to sign; a sign of 0 allows both.
 func (w *Window) Fit(now, ttl time.Duration, sign float64) Line {
 	if w.fitValid && now < w.fittedUntil {
 		return w.fitted
--- a/internal/util/strictavro/strictavro.go
+++ b/internal/util/strictavro/strictavro.go
@@ -1,6 +1,6 @@
-// Package strictavro decodes avro records strictly: the record must end exactly where its bytes end. The codec's own
-// Unmarshal accepts a truncated record as complete and panics on some invalid lengths. It is used for stored and for
-// received data, neither of which can be trusted to be intact; encoding needs no counterpart.
+// Package strictavro decodes Avro records strictly: the record must end exactly where the input ends. Unmarshal of
+// hamba/avro accepts a truncated record as complete and panics on some invalid lengths. Package strictavro is for stored
+// and received data, either of which may be damaged. Records are encoded with hamba/avro itself.
 package strictavro
 
 import (
@@ -10,16 +10,16 @@
 	"github.com/hamba/avro/v2"
 )
 
-// Errors of Unmarshal besides those of the codec. Their texts appear in answers to operators, so they stay as they are.
+// Errors of Unmarshal besides those of the codec. Their texts appear in responses to operators and must not change.
 var (
 	// ErrTrailingBytes reports that bytes follow the record.
 	ErrTrailingBytes = errors.New("strictavro: bytes follow the record")
-	// ErrInvalidLength reports a length on which the codec panicked.
+	// ErrInvalidLength reports that the codec panicked, as it does on some invalid lengths.
 	ErrInvalidLength = errors.New("strictavro: a length cannot be")
 )
 
-// Unmarshal decodes one record of the schema into the target, a pointer. It returns an error unless the record ends where
-// the bytes end.
+// Unmarshal decodes one record of the schema into target, which must be a pointer. It returns an error unless the record
+// ends exactly where encoded ends.
 func Unmarshal(api avro.API, schema avro.Schema, encoded []byte, target any) (err error) {
 	defer func() {
 		if recovered := recover(); recovered != nil {
--- a/internal/util/tcpsocket/tcpsocket_test.go
+++ b/internal/util/tcpsocket/tcpsocket_test.go
@@ -10,24 +10,25 @@
 
 const timeout = 1500 * time.Millisecond
 
-// userTimeout returns the option of a connection, in milliseconds.
+// userTimeout returns the TCP_USER_TIMEOUT of a connection, in milliseconds.
 func userTimeout(t *testing.T, connection net.Conn) int {
 	t.Helper()
-	raw, err := connection.(*net.TCPConn).SyscallConn()
+	rawConn, err := connection.(*net.TCPConn).SyscallConn()
 	if err != nil {
 		t.Fatal(err)
 	}
-	value, failure := 0, error(nil)
-	err = raw.Control(func(descriptor uintptr) {
-		value, failure = unix.GetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT)
+	value, optionErr := 0, error(nil)
+	err = rawConn.Control(func(fd uintptr) {
+		value, optionErr = unix.GetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT)
 	})
-	if err != nil || failure != nil {
-		t.Fatal(err, failure)
+	if err != nil || optionErr != nil {
+		t.Fatalf("read TCP_USER_TIMEOUT: control error %v, option error %v", err, optionErr)
 	}
 	return value
 }
 
-// Both ends of a connection have the option: the dialer's, and that of the accepted one by its listener.
+// TestUserTimeout_dialedAndAccepted checks that a dialed connection has the timeout of its dialer and an accepted one that of
+// its listener.
 func TestUserTimeout_dialedAndAccepted(t *testing.T) {
 	config := net.ListenConfig{Control: UserTimeout(timeout)}
 	listener, err := config.Listen(t.Context(), "tcp4", "127.0.0.1:0")
@@ -47,9 +48,9 @@
 	}
 	t.Cleanup(func() { _ = accepted.Close() })
 	if got := userTimeout(t, dialed); got != 3000 {
-		t.Errorf("dialed: %d ms", got)
+		t.Errorf("timeout of the dialed connection: got %d ms, want 3000 ms", got)
 	}
 	if got := userTimeout(t, accepted); got != 1500 {
-		t.Errorf("accepted: %d ms", got)
+		t.Errorf("timeout of the accepted connection: got %d ms, want 1500 ms", got)
 	}
 }
