--- a/deploy/days/kinds.go
+++ b/deploy/days/events.go
@@ -1,13 +1,13 @@
 package main
 
-// closings are the final faults.
-var closings = []string{
+// finalFaults are the faults at the end of a scenario: the kind and further fields of an inline table.
+var finalFaults = []string{
 	`"power_off_all"`, `"kill_all"`,
 	`"wipe_after_ack"`, `"wipe_after_ack", how = "aimed"`, `"wipe_after_ack", how = "timed"`, `"wipe_after_ack", how = "taken"`,
 }
 
-// planned is work that the operator or the platform plans.
-var planned = []string{
+// plannedEvents are events planned by the operator or the platform, valid and invalid configuration changes included.
+var plannedEvents = []string{
 	`kind = "big_config", count = 300`,
 	`kind = "bad_config", count = 6, gap_s = 0.6, how = "cut_short"`,
 	`kind = "bad_config", count = 6, gap_s = 0.6, how = "unknown_service"`,
@@ -34,8 +34,8 @@
 	`kind = "replace_with_reuse", share = 0.15, how = "drain"`,
 }
 
-// faultsOfCore are unplanned faults. Those of the core are listed in all their variants.
-var faultsOfCore = []string{
+// unplannedFaults are faults of the core, in all their variants, and some faults of other machines.
+var unplannedFaults = []string{
 	`kind = "core_cut", for_s = 4.0`,
 	`kind = "core_cut", for_s = 4.0, how = "one_way"`,
 	`kind = "core_cut", for_s = 5.0, how = "seeds"`,
--- a/deploy/days/main.go
+++ b/deploy/days/main.go
@@ -1,8 +1,9 @@
-// Command days draws days of the bench on which faults of the core cross each other, one file for each seed.
+// Command days generates random fault scenarios for the bench, one file for each seed. The bench calls a scenario a day. By
+// default, faults of control plane (core) machines overlap each other.
 //
 //	go run ./deploy/days -out DIRECTORY -first 1 -count 40 [-family NAME] [-length SECONDS] [-closing KIND]
 //
-// The same seed always gives the same day. README.md describes how they are played.
+// The same seed and options always give the same scenario. README.md describes how scenarios are run.
 package main
 
 import (
@@ -17,112 +18,119 @@
 
 func main() {
 	log.SetFlags(0)
-	out := flag.String("out", ".", "the directory that takes the files")
-	first := flag.Uint64("first", 1, "the first seed")
-	count := flag.Uint64("count", 1, "how many days")
-	closing := flag.String("closing", "", "the final fault of all days; empty: drawn")
-	family := flag.String("family", "core", "what the days are made of: "+strings.Join(familyNames(), ", "))
-	length := flag.Float64("length", defaultLength, "seconds of traffic of the site's days")
+	out := flag.String("out", ".", "directory for the scenario files")
+	first := flag.Uint64("first", 1, "first seed")
+	count := flag.Uint64("count", 1, "number of scenarios")
+	closing := flag.String("closing", "", "final fault of all scenarios, quoted as in the file, or none; empty: random")
+	family := flag.String("family", "core", "kind of scenario: "+strings.Join(familyNames(), ", "))
+	length := flag.Float64("length", defaultTrafficSeconds, "seconds of traffic per scenario, which the site sets")
 	flag.Parse()
-	if err := writeAll(*out, *first, *count, dayOptions{family: *family, length: *length, closing: *closing}); err != nil {
+	if err := writeScenarios(*out, *first, *count, scenarioOptions{family: *family, trafficSeconds: *length, finalFault: *closing}); err != nil {
 		log.Fatal(err)
 	}
 }
 
-// defaultLength is how many seconds of traffic the operators' days have.
-const defaultLength = 34.0
+// defaultTrafficSeconds is the traffic duration of the operators' scenarios.
+const defaultTrafficSeconds = 34.0
 
-// dayOptions are the options that all days of one call share.
-type dayOptions struct {
-	family  string
-	length  float64 // seconds
-	closing string  // empty: drawn
+// scenarioOptions are the options that all scenarios of one run share.
+type scenarioOptions struct {
+	family         string // key of scenarioFamilies
+	trafficSeconds float64
+	finalFault     string // empty: random; "none": no final fault
 }
 
-func writeAll(directory string, first, count uint64, wanted dayOptions) error {
-	if families[wanted.family] == nil {
-		return fmt.Errorf("no family %q; there are %s", wanted.family, strings.Join(familyNames(), ", "))
+// writeScenarios writes the scenarios of count seeds from first on, one file each, into the directory.
+func writeScenarios(directory string, first, count uint64, options scenarioOptions) error {
+	if scenarioFamilies[options.family] == nil {
+		return fmt.Errorf("unknown family %q, want one of: %s", options.family, strings.Join(familyNames(), ", "))
 	}
 	if err := os.MkdirAll(directory, 0o755); err != nil {
 		return err
 	}
 	for seed := first; seed < first+count; seed++ {
-		path := filepath.Join(directory, fmt.Sprintf("%s-%d.toml", wanted.family, seed))
-		if err := os.WriteFile(path, []byte(draw(seed, wanted)), 0o644); err != nil {
+		path := filepath.Join(directory, fmt.Sprintf("%s-%d.toml", options.family, seed))
+		if err := os.WriteFile(path, []byte(generateScenario(seed, options)), 0o644); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// draw returns the day of a seed.
-func draw(seed uint64, wanted dayOptions) string {
+// generateScenario returns the scenario of a seed in TOML.
+func generateScenario(seed uint64, options scenarioOptions) string {
 	random := rand.New(rand.NewPCG(seed, 0))
-	closing := wanted.closing
-	var day strings.Builder
-	fmt.Fprintf(&day, "[[day]]\nname = \"%s-%d\"\nseed = %d\n", wanted.family, seed, seed)
-	if closing == "" {
-		closing = choose(random, closings)
+	finalFault := options.finalFault
+	var scenario strings.Builder
+	fmt.Fprintf(&scenario, "[[day]]\nname = \"%s-%d\"\nseed = %d\n", options.family, seed, seed)
+	if finalFault == "" {
+		finalFault = choose(random, finalFaults)
 	}
-	if closing != "none" {
-		fmt.Fprintf(&day, "closing = { kind = %s, down_s = %.2f }\n", closing, between(random, 0.6, 1.8))
+	if finalFault != "none" {
+		fmt.Fprintf(&scenario, "closing = { kind = %s, down_s = %.2f }\n", finalFault, uniform(random, 0.6, 1.8))
 	}
-	plan, faults := families[wanted.family](random, wanted.length)
-	writeList(&day, "plan", plan)
-	writeList(&day, "faults", faults)
-	return day.String()
+	plan, faults := scenarioFamilies[options.family](random, options.trafficSeconds)
+	writeEvents(&scenario, "plan", plan)
+	writeEvents(&scenario, "faults", faults)
+	return scenario.String()
 }
 
-func writeList(day *strings.Builder, name string, lines []string) {
-	fmt.Fprintf(day, "%s = [\n", name)
-	for _, line := range lines {
-		fmt.Fprintf(day, "  { %s },\n", line)
+// writeEvents writes a TOML array of events, which are given as the contents of inline tables.
+func writeEvents(scenario *strings.Builder, name string, events []string) {
+	fmt.Fprintf(scenario, "%s = [\n", name)
+	for _, event := range events {
+		fmt.Fprintf(scenario, "  { %s },\n", event)
 	}
-	day.WriteString("]\n")
+	scenario.WriteString("]\n")
 }
 
-// crossing draws faults of the core that cross each other, during orders and other planned work.
-func crossing(random *rand.Rand, length float64) (plan, faults []string) {
-	return drawPlan(random, length), drawFaults(random, length)
+// overlappingFaults generates faults that overlap each other, mostly of the core, during configuration changes and other planned
+// work.
+func overlappingFaults(random *rand.Rand, length float64) (plan, faults []string) {
+	return generatePlan(random, length), generateFaults(random, length)
 }
 
-// drawPlan keeps orders coming all day, so that each a fault meets some, and adds other planned work.
-func drawPlan(random *rand.Rand, length float64) []string {
-	lines := []string{
-		fmt.Sprintf(`at = 1.5, kind = "config_storm", for_s = %.1f, gap_s = %.2f`, length-3, between(random, 0.25, 0.9)),
-		fmt.Sprintf(`at = 3.0, kind = "config_race", count = %d, gap_s = %.2f`, 4+random.IntN(8), between(random, 0.7, 2.5)),
+// generatePlan generates configuration changes throughout the scenario, so that each fault coincides with some, and other planned
+// work.
+func generatePlan(random *rand.Rand, length float64) []string {
+	plan := []string{
+		fmt.Sprintf(`at = 1.5, kind = "config_storm", for_s = %.1f, gap_s = %.2f`, length-3, uniform(random, 0.25, 0.9)),
+		fmt.Sprintf(`at = 3.0, kind = "config_race", count = %d, gap_s = %.2f`, 4+random.IntN(8), uniform(random, 0.7, 2.5)),
 	}
 	for range 1 + random.IntN(3) {
-		lines = append(lines, fmt.Sprintf("at = %.2f, %s", between(random, 2, length-6), choose(random, planned)))
+		plan = append(plan, fmt.Sprintf("at = %.2f, %s", uniform(random, 2, length-6), choose(random, plannedEvents)))
 	}
-	return lines
+	return plan
 }
 
-// meanGroupPause is how many seconds lie between groups of faults on days longer than the operators'.
-const meanGroupPause = 12.0
+// meanGroupInterval is the number of seconds for each group of faults in scenarios longer than the operators'.
+const meanGroupInterval = 12.0
 
-// drawFaults draws groups of faults, two or three on a day of the usual length; those of a group cross each other.
-func drawFaults(random *rand.Rand, length float64) []string {
-	var lines []string
-	at := between(random, 2, 6)
+// generateFaults generates groups of faults: two or three groups in a scenario of the default length, more in a longer one. The
+// faults of a group overlap each other.
+func generateFaults(random *rand.Rand, length float64) []string {
+	var faults []string
+	at := uniform(random, 2, 6)
 	groups := 2 + random.IntN(2)
-	if length > defaultLength {
-		groups = int(length / meanGroupPause)
+	if length > defaultTrafficSeconds {
+		groups = int(length / meanGroupInterval)
 	}
 	for range groups {
 		for range 2 + random.IntN(2) {
-			lines = append(lines, fmt.Sprintf("at = %.2f, %s", at+between(random, 0, 3), choose(random, faultsOfCore)))
+			faults = append(faults, fmt.Sprintf("at = %.2f, %s", at+uniform(random, 0, 3), choose(random, unplannedFaults)))
 		}
-		at += between(random, 5, 11)
+		at += uniform(random, 5, 11)
 	}
 	if random.IntN(2) == 0 {
-		lines = append(lines, fmt.Sprintf(`at = %.2f, kind = "ack_lost", x = 0.7, for_s = 12.0`, between(random, 2, 20)))
+		faults = append(faults, fmt.Sprintf(`at = %.2f, kind = "ack_lost", x = 0.7, for_s = 12.0`, uniform(random, 2, 20)))
 	}
-	return lines
+	return faults
 }
 
+// choose returns a random element.
 func choose(random *rand.Rand, from []string) string { return from[random.IntN(len(from))] }
 
-func between(random *rand.Rand, low, high float64) float64 {
+// uniform returns a random number in [low, high).
+func uniform(random *rand.Rand, low, high float64) float64 {
 	return low + random.Float64()*(high-low)
 }
--- a/deploy/days/main_test.go
+++ b/deploy/days/main_test.go
@@ -8,29 +8,30 @@
 	"testing"
 )
 
-// TestSeedGivesSameDay holds the days that the journal names by their seeds: a changed draw must get a family of its own.
-func TestSeedGivesSameDay(t *testing.T) {
+// TestGenerateScenario_sameSeedSameScenario guards the scenarios of the core family, which the journal identifies by their seeds:
+// changed scenarios need a new family.
+func TestGenerateScenario_sameSeedSameScenario(t *testing.T) {
 	digest := sha256.New()
 	for seed := uint64(1); seed <= 20; seed++ {
-		digest.Write([]byte(draw(seed, dayOptions{family: "core", length: defaultLength})))
+		digest.Write([]byte(generateScenario(seed, scenarioOptions{family: "core", trafficSeconds: defaultTrafficSeconds})))
 	}
 	const recorded = "90169998619fe75a"
 	if got := hex.EncodeToString(digest.Sum(nil)[:8]); got != recorded {
-		t.Errorf("days of the seeds 1 to 20 have the digest %s, %s when they were recorded", got, recorded)
+		t.Errorf("scenarios of seeds 1 to 20: got digest %s, want the recorded %s", got, recorded)
 	}
 }
 
-// TestFamilies draws days of all families and looks for faults and for times outside the day.
-func TestFamilies(t *testing.T) {
-	for name, family := range families {
+// TestScenarioFamilies checks that each family generates planned work and faults, each of them with a time that is not negative.
+func TestScenarioFamilies(t *testing.T) {
+	for name, family := range scenarioFamilies {
 		for seed := uint64(1); seed <= 50; seed++ {
-			plan, faults := family(rand.New(rand.NewPCG(seed, 0)), defaultLength)
+			plan, faults := family(rand.New(rand.NewPCG(seed, 0)), defaultTrafficSeconds)
 			if len(plan) == 0 || len(faults) == 0 {
-				t.Fatalf("%s, seed %d: %d lines of planned work, %d faults", name, seed, len(plan), len(faults))
+				t.Fatalf("family %s, seed %d: got %d planned events and %d faults, want some of both", name, seed, len(plan), len(faults))
 			}
-			for _, line := range append(plan, faults...) {
-				if !strings.HasPrefix(line, "at = ") || strings.HasPrefix(line, "at = -") {
-					t.Fatalf("%s, seed %d: %q", name, seed, line)
+			for _, event := range append(plan, faults...) {
+				if !strings.HasPrefix(event, "at = ") || strings.HasPrefix(event, "at = -") {
+					t.Fatalf("family %s, seed %d: got event %q, want one that begins with a time that is not negative", name, seed, event)
 				}
 			}
 		}
--- a/internal/layout_test.go
+++ b/internal/layout_test.go
@@ -1,4 +1,4 @@
-// Package internal has no code of its own; its test checks which wing of the repository may import which.
+// Package internal contains only a test, which checks the import rules between the parts of the repository.
 package internal
 
 import (
@@ -13,13 +13,13 @@
 
 const modulePrefix = "ospreybend/"
 
-// layoutRule allows the packages below one folder to import those below others.
+// layoutRule states that packages below folder may import, from this module, only packages below one of imports.
 type layoutRule struct {
 	folder  string
 	imports []string
 }
 
-// layoutRules are the rows of the table in docs/design/layout.md.
+// layoutRules must match the table in docs/design/layout.md.
 var layoutRules = []layoutRule{
 	{"coord", []string{"coord"}},
 	{"internal/util", []string{"internal/util"}},
@@ -35,7 +35,7 @@
 	{"internal/testkit", []string{"coord", "internal", "balance", "drmaa"}},
 }
 
-// TestLayout_importsFollowTheRules fails for each import of non-test code that docs/design/layout.md does not allow.
+// TestLayout_importsFollowTheRules fails for each import in non-test code that layoutRules does not allow.
 func TestLayout_importsFollowTheRules(t *testing.T) {
 	for _, rule := range layoutRules {
 		t.Run(rule.folder, func(t *testing.T) {
@@ -44,19 +44,19 @@
 				for _, imported := range moduleImports(t, file) {
 					checked++
 					if !allowed(rule, imported) {
-						t.Errorf("%s imports %s, which %s may not", file, imported, rule.folder)
+						t.Errorf("%s imports %s, which is not allowed below %s", file, imported, rule.folder)
 					}
 				}
 			}
 			if checked == 0 && rule.folder != "internal/util" {
-				t.Errorf("no import of the module seen below %s: is the folder still there?", rule.folder)
+				t.Errorf("no imports from this module found below %s: has the folder been moved or emptied?", rule.folder)
 			}
 		})
 	}
 }
 
-// TestLayout_everyPackageBelongsToAWing fails for a package in internal that no rule covers.
-func TestLayout_everyPackageBelongsToAWing(t *testing.T) {
+// TestLayout_everyPackageHasARule fails for each package in internal that no rule covers.
+func TestLayout_everyPackageHasARule(t *testing.T) {
 	for _, file := range goFiles(t, ".") {
 		folder := "internal/" + filepath.ToSlash(filepath.Dir(file))
 		covered := false
@@ -64,7 +64,7 @@
 			covered = covered || below(folder, rule.folder)
 		}
 		if !covered {
-			t.Errorf("%s belongs to no wing of docs/design/layout.md", folder)
+			t.Errorf("%s is not covered by layoutRules and docs/design/layout.md", folder)
 		}
 	}
 }
@@ -91,7 +91,7 @@
 	return files
 }
 
-// moduleImports returns the packages of this module that a file imports, without the module's name.
+// moduleImports returns the packages of this module that a file imports, as paths relative to the module root.
 func moduleImports(t *testing.T, file string) []string {
 	t.Helper()
 	parsed, err := parser.ParseFile(token.NewFileSet(), file, nil, parser.ImportsOnly)
@@ -104,14 +104,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if inner, ok := strings.CutPrefix(path, modulePrefix); ok {
-			imports = append(imports, inner)
+		if relative, ok := strings.CutPrefix(path, modulePrefix); ok {
+			imports = append(imports, relative)
 		}
 	}
 	return imports
 }
 
-// allowed reports whether the rule lets its folder import the package.
+// allowed reports whether the rule allows its folder to import the package.
 func allowed(rule layoutRule, imported string) bool {
 	for _, folder := range rule.imports {
 		if below(imported, folder) {
@@ -121,7 +121,7 @@
 	return false
 }
 
-// below reports whether a package is the folder or lies in it.
-func below(imported, folder string) bool {
-	return imported == folder || strings.HasPrefix(imported, folder+"/")
+// below reports whether a path is the folder or lies below it.
+func below(path, folder string) bool {
+	return path == folder || strings.HasPrefix(path, folder+"/")
 }
