--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,5 +1,5 @@
-// Command simhost hosts instances of the decision module on the simulator's
-// wire: batches of events on standard input, replies on standard output.
+// Command simhost runs instances of the decision module for the simulator. It speaks the protocol of package simwire:
+// batches of events on standard input, replies on standard output.
 package main
 
 import (
@@ -22,7 +22,7 @@
 	}
 }
 
-// serve answers batches until the input ends.
+// serve processes batches and writes one reply to each until the input ends.
 func serve(in io.Reader, out io.Writer) error {
 	r, w := bufio.NewReaderSize(in, bufferSize), bufio.NewWriterSize(out, bufferSize)
 	instances := map[uint32]*balance.Balancer{}
@@ -50,6 +50,7 @@
 	}
 }
 
+// handle passes one record's event to its instance and adds the resulting actions to the reply.
 func handle(instances map[uint32]*balance.Balancer, batch simwire.Batch, rec simwire.Record, reply *simwire.Reply) error {
 	switch ev := rec.Event.(type) {
 	case simwire.Attach:
@@ -67,7 +68,7 @@
 	case balance.Event:
 		b := instances[rec.Instance]
 		if b == nil {
-			return fmt.Errorf("%T for an instance that is not attached", ev)
+			return fmt.Errorf("event %T for an instance that is not attached", ev)
 		}
 		for _, a := range b.Handle(batch.Now, ev) {
 			if err := reply.Add(rec.Instance, a); err != nil {
