--- a/cmd/ospreybend/hot_restart_test.go
+++ b/cmd/ospreybend/hot_restart_test.go
@@ -23,21 +23,21 @@
 )
 
 const (
-	// conditionTimeout ends a test whose condition never holds.
+	// conditionTimeout fails a test whose condition never becomes true.
 	conditionTimeout = time.Minute
-	// maxPendingJobs keeps a load below the slots of one worker, so that no job is refused however slow the machine is.
+	// maxPendingJobs keeps a load below the slots of one worker, so that no job is refused on a slow machine.
 	maxPendingJobs = 12
 )
 
-// restartTest is the site of one test.
+// restartTest combines a test with its testbed.
 type restartTest struct {
 	*testing.T
-	*restartSite
+	*restartTestbed
 }
 
 func newRestartTest(t *testing.T, sockets int, script fakeplatform.Script) restartTest {
 	t.Helper()
-	s, err := newRestartSite(4, 16, sockets, script)
+	s, err := newRestartTestbed(4, 16, sockets, script)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -45,7 +45,7 @@
 	return restartTest{t, s}
 }
 
-func (s restartTest) startNext() *serverProcess {
+func (s restartTest) startProcess() *serverProcess {
 	s.Helper()
 	p, err := s.start(s.Context())
 	if err != nil {
@@ -55,24 +55,24 @@
 	return p
 }
 
-func (s restartTest) until(what string, f func() bool) {
+func (s restartTest) waitUntil(condition string, holds func() bool) {
 	s.Helper()
-	if err := fakeplatform.WaitUntil(s.Context(), conditionTimeout, f); err != nil {
-		s.Fatalf("%s: %v", what, err)
+	if err := fakeplatform.WaitUntil(s.Context(), conditionTimeout, holds); err != nil {
+		s.Fatalf("waiting for %s: %v", condition, err)
 	}
 }
 
 func (s restartTest) override(p *serverProcess, verb, worker string) {
 	s.Helper()
 	if status, text := p.call("PUT", "/-/prep-workers/"+worker+"/"+verb); status != 200 {
-		s.Errorf("%s %s: %d %s", verb, worker, status, text)
+		s.Errorf("%s worker %s: status %d, body %q; want 200", verb, worker, status, text)
 	}
 }
 
-func (s restartTest) stopped(p *serverProcess) {
+func (s restartTest) shutDown(p *serverProcess) {
 	s.Helper()
 	if err := p.shutdown(); err != nil {
-		s.Errorf("left with %v", err)
+		s.Errorf("shut down process: %v, want exit code 0", err)
 	}
 }
 
@@ -90,15 +90,16 @@
 	s.Helper()
 	c, err := net.Dial("tcp", s.address)
 	if err != nil {
-		s.Fatalf("%s: %v", name, err)
+		s.Fatalf("connect client %s: %v", name, err)
 	}
 	s.Cleanup(func() { c.Close() })
 	return c
 }
 
-// patientLoad is the site's load, of clients that wait as long as the machine needs, and never for a free slot.
-func (s *restartSite) patientLoad(prefix string, rate float64, span time.Duration) loadgen.Config {
-	config := s.load(prefix, rate, span)
+// loadWithoutTimeouts returns the testbed's load with deadlines that a slow machine does not exceed, and with so few
+// pending jobs that none waits for a free slot.
+func (s *restartTestbed) loadWithoutTimeouts(prefix string, rate float64, duration time.Duration) loadgen.Config {
+	config := s.load(prefix, rate, duration)
 	config.MaxPending, config.DialTimeout = maxPendingJobs, conditionTimeout
 	for i := range config.Classes {
 		config.Classes[i].Within = conditionTimeout
@@ -106,13 +107,13 @@
 	return config
 }
 
-// pendingJobs tracks which requests of a load wait for their answers.
+// pendingJobs tracks which requests of a load await their responses.
 type pendingJobs struct {
 	mutex sync.Mutex
 	ids   map[string]bool
 }
 
-// track has the load report what it sends and gets answered.
+// track returns the load's configuration with hooks that record sent requests and received responses.
 func (p *pendingJobs) track(config loadgen.Config) loadgen.Config {
 	config.OnSend = func(id string) { p.set(id, true) }
 	config.OnResponse = func(_ time.Duration, _ *loadgen.Class, id string, _ int, _ time.Duration) { p.set(id, false) }
@@ -132,16 +133,16 @@
 	}
 }
 
-// now returns the requests that wait at this moment.
-func (p *pendingJobs) now() map[string]bool {
+// snapshot returns the currently pending requests.
+func (p *pendingJobs) snapshot() map[string]bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return maps.Clone(p.ids)
 }
 
-// noneOf reports whether none of the requests waits any more.
-func (p *pendingJobs) noneOf(ids map[string]bool) bool {
-	for id := range p.now() {
+// allAnswered reports whether none of the given requests is pending any more.
+func (p *pendingJobs) allAnswered(ids map[string]bool) bool {
+	for id := range p.snapshot() {
 		if ids[id] {
 			return false
 		}
@@ -154,65 +155,66 @@
 	return len(entries)
 }
 
-// Two hot restarts under a steady load: every job is served, and begun once. A worker that an operator has disabled stays
-// disabled over SIGHUP and in the next process, an override given to either process applies to both, and an enabled
-// worker gets jobs again. What the processes share, such as the address for peers, is handed over.
+// Two hot restarts under a steady load. Every job must be served and begin exactly once. A worker that an operator has
+// disabled must stay disabled after SIGHUP and in the next process, an override given to one process must apply to both,
+// and a worker that is enabled again must get jobs. The last process must have taken over the peers' address.
 func TestHotRestart_underLoad(t *testing.T) {
 	s := newRestartTest(t, 1024, fakeplatform.For(20*time.Millisecond))
-	begun := func() int { return len(s.fleet.Workers[0].Begun()) }
+	begunByDisabledWorker := func() int { return len(s.fleet.Workers[0].Begun()) }
 	result := make(chan *loadgen.Result, 1)
 	var pending pendingJobs
-	run := func(prefix string, span time.Duration) {
-		result <- loadgen.Run(t.Context(), pending.track(s.patientLoad(prefix, 150, span)))
+	runLoad := func(prefix string, duration time.Duration) {
+		result <- loadgen.Run(t.Context(), pending.track(s.loadWithoutTimeouts(prefix, 150, duration)))
 	}
-	served := func() {
+	checkAllServed := func() {
 		if r := <-result; r.Sent < 100 || r.Served != r.Sent {
-			t.Errorf("%d sent, %d served, %d refused, %d failed, %d broken", r.Sent, r.Served, r.Refused, r.Failed, r.Broken)
+			t.Errorf("load: %d sent, %d served, %d refused, %d failed, %d broken; want at least 100 sent and all served",
+				r.Sent, r.Served, r.Refused, r.Failed, r.Broken)
 		}
 	}
-	a := s.startNext()
-	go run("u", 4*time.Second)
-	s.until("a load", func() bool { return begun() > 0 && len(s.fleet.Begun()) > 50 })
-	s.override(a, "disable", "w-1")
-	before := pending.now()
-	s.until("the end of the jobs that came before the override", func() bool { return pending.noneOf(before) })
-	was := begun()
-	if err := a.cmd.Process.Signal(syscall.SIGHUP); err != nil {
+	first := s.startProcess()
+	go runLoad("u", 4*time.Second)
+	s.waitUntil("jobs on worker w-1 and 50 jobs in total", func() bool { return begunByDisabledWorker() > 0 && len(s.fleet.Begun()) > 50 })
+	s.override(first, "disable", "w-1")
+	before := pending.snapshot()
+	s.waitUntil("responses to the requests sent before the override", func() bool { return pending.allAnswered(before) })
+	begunBefore := begunByDisabledWorker()
+	if err := first.cmd.Process.Signal(syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
-	b := s.startNext()
-	s.override(b, "disable", "w-2")
-	s.until("the override in the other process", func() bool { return a.hasMetric("prep_workers_excluded:2|g") })
-	s.stopped(a)
-	c := s.startNext()
-	s.stopped(b)
-	if !c.hasMetric("prep_workers_excluded:2|g") {
-		t.Error("not disabled any more after two restarts")
-	}
-	served()
-	if now := begun(); now != was {
-		t.Errorf("%d jobs went to a disabled prep worker", now-was)
-	}
-	go run("v", 2*time.Second)
-	s.override(c, "enable", "w-1")
-	s.until("jobs for the enabled worker", func() bool { return begun() > was })
-	served()
+	second := s.startProcess()
+	s.override(second, "disable", "w-2")
+	s.waitUntil("the first process to apply the second one's override", func() bool { return first.hasMetric("prep_workers_excluded:2|g") })
+	s.shutDown(first)
+	third := s.startProcess()
+	s.shutDown(second)
+	if !third.hasMetric("prep_workers_excluded:2|g") {
+		t.Error("third process: prep_workers_excluded is not 2, want both workers still disabled after two restarts")
+	}
+	checkAllServed()
+	if begunNow := begunByDisabledWorker(); begunNow != begunBefore {
+		t.Errorf("disabled worker w-1 began %d jobs, want none", begunNow-begunBefore)
+	}
+	go runLoad("v", 2*time.Second)
+	s.override(third, "enable", "w-1")
+	s.waitUntil("jobs on the enabled worker w-1", func() bool { return begunByDisabledWorker() > begunBefore })
+	checkAllServed()
 	if n := s.begunTwice(); n > 0 {
-		t.Errorf("%d jobs were begun twice", n)
+		t.Errorf("%d jobs began more than once, want none", n)
 	}
-	s.until("the peers' address taken over", func() bool {
+	s.waitUntil("the third process to listen on the peers' address", func() bool {
 		ln, err := net.ListenPacket("udp", s.peerAddress)
 		if err == nil {
 			ln.Close()
 		}
 		return err != nil
 	})
-	s.stopped(c)
+	s.shutDown(third)
 }
 
-// The requests in flight and all client connections of the old process continue in the next one: a job that runs for
-// longer than the old process lives, a pipelined request, half a request, an idle connection, and a client that
-// disconnects later.
+// All client connections of the old process and their requests in flight must continue in the next one: a job that
+// outlasts the old process, a pipelined request, a half-sent request, an idle connection, and a client that disconnects
+// after the hand-over.
 func TestHotRestart_handsOverConnections(t *testing.T) {
 	released := make(chan struct{})
 	s := newRestartTest(t, 1024, func(j fakeplatform.Job) fakeplatform.Act {
@@ -221,67 +223,67 @@
 		}
 		return fakeplatform.Act{Run: 20 * time.Millisecond}
 	})
-	a := s.startNext()
+	old := s.startProcess()
 	clients := map[string]net.Conn{}
 	send := func(name, text string) {
 		if clients[name] == nil {
 			clients[name] = s.dial(name)
 		}
 		if _, err := io.WriteString(clients[name], text); err != nil {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("client %s: send: %v", name, err)
 		}
 	}
 	request := func(class, id string) string {
 		return "POST /" + class + " HTTP/1.1\r\nReq-Id: " + id + "\r\nReq-Deadline: 60.000\r\nContent-Length: 5\r\n\r\nmodel"
 	}
-	served := func(name string, answers int) {
+	checkServed := func(name string, responses int) {
 		in := bufio.NewReader(clients[name])
 		_ = clients[name].SetReadDeadline(time.Now().Add(conditionTimeout))
-		for range answers {
-			answer, err := http.ReadResponse(in, nil)
+		for range responses {
+			response, err := http.ReadResponse(in, nil)
 			if err != nil {
-				t.Fatalf("%s: %v", name, err)
+				t.Fatalf("client %s: read response: %v", name, err)
 			}
-			_, _ = io.Copy(io.Discard, answer.Body)
-			if answer.StatusCode != 200 || answer.Close {
-				t.Errorf("%s: status %d, last %v", name, answer.StatusCode, answer.Close)
+			_, _ = io.Copy(io.Discard, response.Body)
+			if response.StatusCode != 200 || response.Close {
+				t.Errorf("client %s: status %d, Connection: close %v; want 200 on a connection that stays open", name, response.StatusCode, response.Close)
 			}
 		}
 	}
 	send("idle", request("auftrag-buchen", "before"))
-	served("idle", 1)
+	checkServed("idle", 1)
 	send("long", request("vorschau", "long"))
 	send("half", request("auftrag-buchen", "half")[:40])
 	send("gone", request("vorschau", "gone"))
 	send("ahead", request("vorschau", "first")+request("auftrag-buchen", "second"))
-	s.until("jobs at work", func() bool { return len(s.fleet.Begun()) == 4 })
-	b := s.startNext()
-	s.stopped(a)
+	s.waitUntil("4 jobs to begin", func() bool { return len(s.fleet.Begun()) == 4 })
+	next := s.startProcess()
+	s.shutDown(old)
 	if log := s.log(); !strings.Contains(log, "shutting down: handed over") || strings.Contains(log, "some clients have not closed") {
-		t.Error("the old process did not end by handing over:", log)
+		t.Error("the old process did not hand over all connections; log:", log)
 	}
-	if !b.hasMetric("in_flight:3|g") {
-		t.Error("the next process does not count what it took over")
+	if !next.hasMetric("in_flight:3|g") {
+		t.Error("next process: in_flight is not 3, want the requests that it has taken over")
 	}
 	close(released)
 	clients["gone"].Close()
 	send("half", request("auftrag-buchen", "half")[40:])
 	send("idle", request("auftrag-buchen", "after"))
-	for name, answers := range map[string]int{"half": 1, "idle": 1, "long": 1, "ahead": 2} {
-		served(name, answers)
+	for name, responses := range map[string]int{"half": 1, "idle": 1, "long": 1, "ahead": 2} {
+		checkServed(name, responses)
 	}
 	if n := s.begunTwice(); n > 0 {
-		t.Errorf("%d jobs were begun twice", n)
+		t.Errorf("%d jobs began more than once, want none", n)
 	}
-	s.until("the end of a job whose client disconnected", func() bool { return b.hasMetric("in_flight:0|g") })
-	if !b.hasMetric("served.auftrag-buchen:3|c") {
-		t.Error("figures of the next process")
+	s.waitUntil("the end of the job whose client disconnected", func() bool { return next.hasMetric("in_flight:0|g") })
+	if !next.hasMetric("served.auftrag-buchen:3|c") {
+		t.Error("next process: served.auftrag-buchen is not 3")
 	}
-	s.stopped(b)
+	s.shutDown(next)
 }
 
-// With many idle connections two processes together use no more descriptors than one node may, and the administration
-// servers of both answer.
+// With many idle connections, two processes together must not use more descriptors than the node's limit, and the
+// administration servers of both must answer.
 func TestHotRestart_processesShareLimits(t *testing.T) {
 	const limit = 192
 	s := newRestartTest(t, limit, fakeplatform.For(time.Millisecond))
@@ -290,67 +292,67 @@
 			_, _ = io.WriteString(s.dial("idle"), "GET /healthz HTTP/1.1\r\n\r\n")
 		}
 	}
-	a := s.startNext()
+	old := s.startProcess()
 	openIdle()
-	s.until("idle connections", func() bool { return a.descriptors() > limit/3 })
-	b := s.startNext()
+	s.waitUntil("idle connections to the old process", func() bool { return old.descriptors() > limit/3 })
+	next := s.startProcess()
 	openIdle()
-	s.until("descriptors freed", func() bool { return a.descriptors() <= limit/3 && b.descriptors() > limit/6 })
+	s.waitUntil("the old process to free descriptors and the next one to accept idle connections", func() bool { return old.descriptors() <= limit/3 && next.descriptors() > limit/6 })
 	for range 20 {
-		if n, m := a.descriptors(), b.descriptors(); n+m > limit {
-			t.Errorf("%d and %d descriptors", n, m)
+		if n, m := old.descriptors(), next.descriptors(); n+m > limit {
+			t.Errorf("old process has %d open descriptors and next process %d, want at most %d in total", n, m, limit)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	for _, p := range []*serverProcess{a, b} {
+	for _, p := range []*serverProcess{old, next} {
 		if status, text := p.call("GET", "/-/ready"); status != 200 {
-			t.Errorf("not answered among idle connections: %d %s", status, text)
+			t.Errorf("GET /-/ready with many idle connections: status %d, body %q; want 200", status, text)
 		}
 	}
-	s.stopped(a)
-	s.stopped(b)
+	s.shutDown(old)
+	s.shutDown(next)
 }
 
-// A descriptor that is no listening socket is an error of the start that names the variable; a directory that cannot be
-// used is not. A process without a worker in its list is not ready and accepts no clients before discovery has answered;
-// one that shuts down is not ready.
+// A start fails with an error that names the variable if the inherited descriptor is not a listening socket; it does not
+// fail if the shared directory cannot be used. A process is not ready while it knows no ready worker, nor once it shuts
+// down.
 func TestStart_inheritedListener(t *testing.T) {
 	cfg := exampleConfig(t)
 	for _, fd := range []string{"x", "-1", "0", "99", "4096"} {
 		cfg.InheritedListener = fd
 		if _, err := start(cfg); err == nil || !strings.Contains(err.Error(), "BALANCER_INHERITED_FD") {
-			t.Errorf("descriptor %s: %v", fd, err)
+			t.Errorf("start with inherited descriptor %q: error %v, want one that names BALANCER_INHERITED_FD", fd, err)
 		}
 	}
 	s := newRestartTest(t, 1024, fakeplatform.For(time.Millisecond))
 	if err := os.WriteFile(filepath.Join(s.dir, "tmp"), nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	p := s.startNext()
+	p := s.startProcess()
 	s.override(p, "disable", "w-1")
-	s.stopped(p)
+	s.shutDown(p)
 
 	n, err := start(exampleConfig(t))
 	if err != nil {
 		t.Fatal(err)
 	}
 	p.admin = n.cfg.Admin
-	ready := func() int { status, _ := p.call("GET", "/-/ready"); return status }
-	if status := ready(); status != 503 {
-		t.Errorf("ready says %d without a prep worker", status)
+	readyStatus := func() int { status, _ := p.call("GET", "/-/ready"); return status }
+	if status := readyStatus(); status != 503 {
+		t.Errorf("GET /-/ready without a ready worker: status %d, want 503", status)
 	}
 	n.loop.Call(func() { n.core.PoolChanged(oneReady) })
-	if status := ready(); status != 200 {
-		t.Errorf("ready says %d with a prep worker", status)
+	if status := readyStatus(); status != 200 {
+		t.Errorf("GET /-/ready with a ready worker: status %d, want 200", status)
 	}
 	go n.shutdown()
-	s.until("no longer ready", func() bool { return ready() == 503 })
+	s.waitUntil("GET /-/ready to return 503 during the shutdown", func() bool { return readyStatus() == 503 })
 }
 
 var oneReady = balance.ListUpdate{Kind: balance.ListFull, Workers: []balance.WorkerListing{{Worker: 1}}}
 
-// TestStart_receivesHandoversBeforeReady assembles a process with an inherited listener: a predecessor finds it before its event loop
-// has gone on, so before it can say that it is ready.
+// A process with an inherited listener must receive hand-overs before it can report that it is ready, because its
+// predecessor looks for it as soon as it does. The predecessor must find it as soon as assemble has returned.
 func TestStart_receivesHandoversBeforeReady(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -378,7 +380,7 @@
 		successor = predecessor.Successor()
 	})
 	if err != nil || successor == nil {
-		t.Fatalf("error %v, successor %v", err, successor)
+		t.Fatalf("assemble: error %v; successor that the predecessor finds: %v, want one", err, successor)
 	}
 	successor.Close()
 	n.shutdown()
--- a/cmd/ospreybend/measure_backlog.go
+++ b/cmd/ospreybend/measure_backlog.go
@@ -15,17 +15,17 @@
 	"ospreybend/internal/testkit/loadgen"
 )
 
-// measureBacklog plays phases without and with a backlog of batch jobs in turn.
+// measureBacklog alternates phases without and with a backlog of batch jobs and compares them.
 type measureBacklog struct {
-	Jobs    int           `help:"Jobs of the backlog." default:"10000"`
-	Workers int           `default:"8"`
-	Slots   int           `help:"Of a worker." default:"4"`
-	Request time.Duration `help:"What a platform request takes." default:"100ms"`
-	JobRun  time.Duration `help:"Of a batch job." default:"200ms"`
-	Load    float64       `help:"Of the platform's requests on the slots." default:"0.5"`
-	For     time.Duration `help:"Of a phase." default:"15s"`
-	Pairs   int           `default:"3"`
-	Extra   string        `help:"Further lines of the batch front's file."`
+	Jobs    int           `help:"Number of jobs in the backlog." default:"10000"`
+	Workers int           `help:"Number of prep workers." default:"8"`
+	Slots   int           `help:"Slots per worker." default:"4"`
+	Request time.Duration `help:"Processing time of a platform request." default:"100ms"`
+	JobRun  time.Duration `help:"Run time of a batch job." default:"200ms"`
+	Load    float64       `help:"Fraction of all slots that the platform's requests keep busy." default:"0.5"`
+	For     time.Duration `help:"Length of a phase." default:"15s"`
+	Pairs   int           `help:"Number of phase pairs, each without and with a backlog." default:"3"`
+	Extra   string        `help:"Lines to append to the batch API's configuration file."`
 }
 
 // backlogPhase is the result of one phase.
@@ -38,7 +38,7 @@
 	P50     float64 `json:"p50ms"`
 	P99     float64 `json:"p99ms"`
 	P999    float64 `json:"p999ms"`
-	CPU     float64 `json:"cpuMicrosPerRequest"` // of the node, batch jobs included
+	CPU     float64 `json:"cpuMicrosPerRequest"` // of the node, including batch jobs
 	Jobs    int     `json:"jobsDone"`
 	Busy    float64 `json:"slotsInUse"`
 	Window  float64 `json:"window"`
@@ -46,7 +46,7 @@
 	cpu time.Duration
 }
 
-// backlogRun is what all phases share.
+// backlogRun is the setup that all phases share.
 type backlogRun struct {
 	command *measureBacklog
 	node    *child
@@ -54,7 +54,7 @@
 	session *client.Session // of the tenant whose jobs are the backlog
 }
 
-// Run measures the phases after one to warm up.
+// Run measures the phases, after one for warm-up, and prints them.
 func (c *measureBacklog) Run(env *cli.Env) error {
 	dir, err := os.MkdirTemp("", "ospreybend-measure-")
 	if err != nil {
@@ -93,13 +93,14 @@
 	})
 }
 
-// phases measures all phases. The first one is dropped: in it the decision module learns the classes.
+// phases measures all phases. The result of the first one is dropped because the decision module still learns the
+// classes in it.
 func (r backlogRun) phases(ctx context.Context) (phases []backlogPhase, err error) {
 	if _, err := r.phase(ctx, 0, false); err != nil {
 		return nil, err
 	}
 	for i := range 2 * r.command.Pairs {
-		// Without and with, then with and without, so that a drift favours neither.
+		// The order within a pair alternates, so that a drift of the machine favours neither kind.
 		backlog := (i%2 == 1) != (i/2%2 == 1)
 		phase, err := r.phase(ctx, uint64(1+i/2), backlog)
 		if err != nil {
@@ -130,13 +131,13 @@
 	}
 	service := func(p backlogPhase) float64 { return p.Service }
 	without, with := mean(false, service), mean(true, service)
-	fmt.Fprintf(w, "\nservice without %.4f, with %.4f: ratio %.4f\n", without, with, with/without)
+	fmt.Fprintf(w, "\nservice level without backlog %.4f, with backlog %.4f: ratio %.4f\n", without, with, with/without)
 	cpu := func(p backlogPhase) float64 { return float64(p.cpu.Microseconds()) }
 	jobs := mean(true, func(p backlogPhase) float64 { return float64(p.Jobs) })
-	fmt.Fprintf(w, "node's CPU for a batch job: %.0f us\n", (mean(true, cpu)-mean(false, cpu))/max(jobs, 1))
+	fmt.Fprintf(w, "CPU time of the node per batch job: %.0f us\n", (mean(true, cpu)-mean(false, cpu))/max(jobs, 1))
 }
 
-// phase measures one phase, with a backlog if that is asked for.
+// phase measures one phase, optionally with a backlog.
 func (r backlogRun) phase(ctx context.Context, seed uint64, backlog bool) (phase backlogPhase, err error) {
 	var array *drmaa.Array
 	if backlog {
@@ -159,7 +160,7 @@
 	return phase, err
 }
 
-// load sends the platform's requests of one phase and measures the node and its workers meanwhile.
+// load sends the platform's requests of one phase, and measures the node and its workers while it does.
 func (r backlogRun) load(ctx context.Context, seed uint64, backlog bool) backlogPhase {
 	slots := float64(r.command.Workers * r.command.Slots)
 	cpuBefore, began := r.node.cpuTime(), time.Now()
@@ -179,7 +180,7 @@
 	}
 }
 
-// workerTotals returns how long all slots of the workers were busy together since their start, and how much they served.
+// workerTotals returns the total busy time of all slots of all workers since their start, and the number of jobs served.
 func (r backlogRun) workerTotals() (busy time.Duration, served int) {
 	for _, worker := range r.fleet.Workers {
 		_, workerServed, workerBusy := worker.Totals()
--- a/cmd/ospreybend/measure_fleet.go
+++ b/cmd/ospreybend/measure_fleet.go
@@ -12,20 +12,21 @@
 	"ospreybend/internal/testkit/nodesim"
 )
 
-// measureFleet simulates days of a whole fleet with the program's own decisions.
+// measureFleet simulates days of a whole fleet with the program's own decision module.
 type measureFleet struct {
-	Nodes   int     `default:"80"`
-	Workers int     `default:"60"`
-	Days    int     `help:"Of each kind, with seeds of their own." default:"30"`
-	First   uint64  `help:"The first seed." default:"1"`
-	Load    float64 `help:"Asked for, as a part of what warm prep workers can do." default:"0.62"`
+	Nodes   int     `help:"Number of nodes." default:"80"`
+	Workers int     `help:"Number of prep workers." default:"60"`
+	Days    int     `help:"Number of days of each kind, each with a different seed." default:"30"`
+	First   uint64  `help:"Seed of the first day; each further day adds 1." default:"1"`
+	Load    float64 `help:"Offered load as a fraction of the capacity of warm prep workers." default:"0.62"`
 }
 
-// daysRow is the mean of the days of one kind. Values are parts of the value of all requests, counts are per request.
+// daysRow is the mean over the days of one kind. Values are fractions of the total value of all requests; counts are per
+// request.
 type daysRow struct {
 	Kind              string  `json:"kind"`
-	G                 float64 `json:"g"`
-	Error             float64 `json:"error"` // standard error of the mean
+	G                 float64 `json:"g"`     // score, see nodesim.Result.G
+	Error             float64 `json:"error"` // standard error of G
 	Served            float64 `json:"served"`
 	Refused           float64 `json:"refused"`
 	RunLate           float64 `json:"lateByRun"`
@@ -36,15 +37,15 @@
 	Probes            float64 `json:"probesARequest"`
 	Handshakes        float64 `json:"handshakesARequest"`
 	Messages          float64 `json:"messagesARequest"`
-	Overloaded        int     `json:"felled"`       // workers overloaded while warming up, against the rules
-	OverloadedUnknown int     `json:"felledUntold"` // overloaded by nodes that had not been notified of the start
-	MaxWarmUpLoad     float64 `json:"coldMost"`     // highest load of a worker that warms up, as a part of the allowed one
+	Overloaded        int     `json:"felled"`       // workers overloaded while warming up, against the warm-up limits
+	OverloadedUnknown int     `json:"felledUntold"` // the same, mostly by nodes that had not been notified of the worker's start
+	MaxWarmUpLoad     float64 `json:"coldMost"`     // highest load of a worker during warm-up, as a fraction of the allowed load
 }
 
-// dayKind is a kind of simulated days, made from an ordinary one.
+// dayKind is a kind of simulated day, derived from an ordinary one.
 type dayKind struct {
-	name string
-	of   func(nodesim.Day) nodesim.Day
+	name   string
+	derive func(nodesim.Day) nodesim.Day
 }
 
 // dayKinds returns all kinds, in the order of the rows.
@@ -60,7 +61,7 @@
 // Run simulates the days of all kinds and prints one row for each kind.
 func (c *measureFleet) Run(env *cli.Env) error {
 	if c.Days < 1 {
-		return fmt.Errorf("--days: %d, at least one is wanted", c.Days)
+		return fmt.Errorf("--days: %d, must be at least 1", c.Days)
 	}
 	var rows []daysRow
 	for _, kind := range dayKinds() {
@@ -73,13 +74,13 @@
 	return env.Show(rows, func(w io.Writer) { printDays(w, rows) })
 }
 
-// measureKind simulates the days of one kind, as many at once as there are processors.
+// measureKind simulates the days of one kind, as many in parallel as there are CPUs.
 func (c *measureFleet) measureKind(kind dayKind) (daysRow, error) {
 	days, results := make([]nodesim.Day, c.Days), make([]nodesim.Result, c.Days)
 	var group errgroup.Group
 	group.SetLimit(runtime.NumCPU())
 	for i := range c.Days {
-		days[i] = kind.of(nodesim.Workshop(c.Nodes, c.Workers, c.First+uint64(i)))
+		days[i] = kind.derive(nodesim.Workshop(c.Nodes, c.Workers, c.First+uint64(i)))
 		days[i].Load = c.Load
 		group.Go(func() (err error) {
 			results[i], err = nodesim.Play(days[i])
@@ -106,7 +107,7 @@
 	return row
 }
 
-// add adds the figures of one of count days.
+// add adds one day's share to the means over count days.
 func (row *daysRow) add(result nodesim.Result, count float64) {
 	requests := result.Requests()
 	row.Served += result.Served / result.Value / count
@@ -125,7 +126,7 @@
 }
 
 func printDays(w io.Writer, rows []daysRow) {
-	fmt.Fprintln(w, "DAYS\tG\t+-\tSERVED\tREFUSED\tLATE: RUN\tQUEUE\tHELD\tLOST: REFUSED\tFAILED\tPROBES\tHANDSHAKES\tMESSAGES\tFELLED\tUNTOLD\tCOLD MOST")
+	fmt.Fprintln(w, "DAYS\tG\t+-\tSERVED\tREFUSED\tLATE: RUN\tQUEUE\tPENDING\tLOST: REFUSED\tFAILED\tPROBES\tHANDSHAKES\tMESSAGES\tOVERLOADED\tUNNOTIFIED\tMAX WARM-UP LOAD")
 	for _, row := range rows {
 		fmt.Fprintf(w, "%s\t%.4f\t%.4f\t%.4f\t%.4f\t%.4f\t%.4f\t%.4f\t%.4f\t%.4f\t%.2f\t%.2f\t%.3f\t%d\t%d\t%.2f\n", row.Kind, row.G, row.Error,
 			row.Served, row.Refused, row.RunLate, row.QueueLate, row.PendingLate, row.RejectedValue, row.Failed,
--- a/cmd/ospreybend/measure_kill.go
+++ b/cmd/ospreybend/measure_kill.go
@@ -17,33 +17,34 @@
 	"ospreybend/internal/testkit/fakeplatform"
 )
 
-// errWronglyBegun is an audit that has found a booking lost or begun twice.
-var errWronglyBegun = errors.New("a booking was begun twice or forgotten")
+// errBookingLostOrDuplicated is returned after an audit that found a booking lost or begun more than once.
+var errBookingLostOrDuplicated = errors.New("a booking was lost or began more than once")
 
-// measureKill kills a node while bookings are submitted and audits what became of each.
+// measureKill kills a node while bookings are submitted and audits the outcome of each.
 type measureKill struct {
-	Rounds  int           `default:"5"`
-	Clients int           `help:"That book at once." default:"32"`
-	For     time.Duration `help:"From the first booking to the kill." default:"800ms"`
-	JobRun  time.Duration `help:"Of a booking at a prep worker." default:"50ms"`
-	Points  bool          `help:"Have the node kill itself at each fault point in turn, instead of at a time."`
+	Rounds  int           `help:"Number of rounds, at each fault point if --points is set." default:"5"`
+	Clients int           `help:"Number of concurrent clients that submit bookings." default:"32"`
+	For     time.Duration `help:"Time from the first booking to the kill." default:"800ms"`
+	JobRun  time.Duration `help:"Run time of a booking on a prep worker." default:"50ms"`
+	Points  bool          `help:"Make the node kill itself at each fault point in turn, instead of killing it after a fixed time."`
 }
 
-// bookingAudit is what became of the bookings of one round.
+// bookingAudit counts the outcomes of the bookings of one round.
 type bookingAudit struct {
 	Point        string `json:"point,omitempty"`
-	Passing      int    `json:"passing,omitempty"`
+	Occurrence   int    `json:"passing,omitempty"`
 	Acknowledged int    `json:"acknowledged"`
-	Begun        int    `json:"begunBeforeTheKill"` // at prep workers
+	Begun        int    `json:"begunBeforeTheKill"` // on prep workers
 	Done         int    `json:"done"`
 	Undecided    int    `json:"undecided"` // FAILED, may have run
 	NeverBegun   int    `json:"undecidedThatNeverBegan"`
-	Twice        int    `json:"begunTwice"`
-	Forgotten    int    `json:"forgotten"`
+	BegunTwice   int    `json:"begunTwice"`
+	Lost         int    `json:"forgotten"`
 	OtherFailed  int    `json:"otherwiseFailed"`
 }
 
-// Run plays the rounds, prints their audits and fails if one of them found a booking lost or begun twice.
+// Run runs the rounds, prints their audits and returns an error if one of them found a booking lost or begun more than
+// once.
 func (c *measureKill) Run(env *cli.Env) error {
 	var audits []bookingAudit
 	points := []string{""}
@@ -52,10 +53,10 @@
 	}
 	for i := range c.Rounds {
 		for _, point := range points {
-			passing := 1 + 7*i
-			audit, err := c.runRound(env.Ctx, point, passing)
+			occurrence := 1 + 7*i
+			audit, err := c.runRound(env.Ctx, point, occurrence)
 			if err != nil {
-				return fmt.Errorf("%s:%d: %w", point, passing, err)
+				return fmt.Errorf("fault point %q, occurrence %d: %w", point, occurrence, err)
 			}
 			audits = append(audits, audit)
 		}
@@ -64,24 +65,25 @@
 		return err
 	}
 	for _, audit := range audits {
-		if audit.Twice+audit.Forgotten > 0 {
-			return errWronglyBegun
+		if audit.BegunTwice+audit.Lost > 0 {
+			return errBookingLostOrDuplicated
 		}
 	}
 	return nil
 }
 
 func printAudits(w io.Writer, audits []bookingAudit) {
-	fmt.Fprintln(w, "POINT\tACKNOWLEDGED\tBEGUN BEFORE\tDONE\tUNDECIDED\tOF THESE NEVER BEGUN\tBEGUN TWICE\tFORGOTTEN\tOTHERWISE FAILED")
+	fmt.Fprintln(w, "POINT\tACKNOWLEDGED\tBEGUN BEFORE\tDONE\tUNDECIDED\tOF THESE NEVER BEGUN\tBEGUN TWICE\tLOST\tOTHERWISE FAILED")
 	for _, audit := range audits {
-		fmt.Fprintf(w, "%s:%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\n", audit.Point, audit.Passing, audit.Acknowledged, audit.Begun, audit.Done,
-			audit.Undecided, audit.NeverBegun, audit.Twice, audit.Forgotten, audit.OtherFailed)
+		fmt.Fprintf(w, "%s:%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\n", audit.Point, audit.Occurrence, audit.Acknowledged, audit.Begun, audit.Done,
+			audit.Undecided, audit.NeverBegun, audit.BegunTwice, audit.Lost, audit.OtherFailed)
 	}
 }
 
-// runRound kills a node and starts it again. With a fault point the node kills itself the given time it passes there.
-func (c *measureKill) runRound(ctx context.Context, point string, passing int) (bookingAudit, error) {
-	audit := bookingAudit{Point: point, Passing: passing}
+// runRound kills a node during bookings, restarts it and audits the bookings. With a fault point, the node kills itself
+// when it reaches that point for the given time (1: the first).
+func (c *measureKill) runRound(ctx context.Context, point string, occurrence int) (bookingAudit, error) {
+	audit := bookingAudit{Point: point, Occurrence: occurrence}
 	dir, err := os.MkdirTemp("", "ospreybend-kill-")
 	if err != nil {
 		return audit, err
@@ -98,7 +100,7 @@
 	}
 	var env []string
 	if point != "" {
-		env = append(env, "OSPREYBEND_FAULT="+point+":"+strconv.Itoa(passing))
+		env = append(env, "OSPREYBEND_FAULT="+point+":"+strconv.Itoa(occurrence))
 	}
 	if err := node.startWithEnv(ctx, env...); err != nil {
 		return audit, err
@@ -119,13 +121,13 @@
 	return audit, audit.add(ctx, session, fleet, acknowledged)
 }
 
-// add waits for each of the acknowledged bookings and counts what became of it.
+// add waits for each of the acknowledged bookings and counts its outcome.
 func (a *bookingAudit) add(ctx context.Context, session *client.Session, fleet *fakeplatform.Fleet, acknowledged []string) error {
 	for _, id := range acknowledged {
 		job, err := session.Wait(ctx, id, client.Terminated)
 		switch {
 		case errors.Is(err, &drmaa.Error{Name: drmaa.InvalidArgument}):
-			a.Forgotten++
+			a.Lost++
 			continue
 		case err != nil:
 			return err
@@ -143,25 +145,25 @@
 			a.OtherFailed++
 		}
 		if begun > 1 {
-			a.Twice++
+			a.BegunTwice++
 		}
 	}
 	return nil
 }
 
-// killDuringBookings submits bookings from several clients, kills the node, or waits until it has killed itself, and
+// killDuringBookings submits bookings from concurrent clients and kills the node, or waits until it has killed itself. It
 // returns the identifiers of the acknowledged jobs.
 func (c *measureKill) killDuringBookings(ctx context.Context, node *child, session *client.Session, killsItself bool) (acknowledged []string, err error) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	var mutex sync.Mutex // of acknowledged
+	var mutex sync.Mutex // guards acknowledged
 	var clients sync.WaitGroup
 	for range c.Clients {
 		clients.Go(func() {
 			for ctx.Err() == nil {
 				job, err := session.Run(ctx, drmaa.JobTemplate{RemoteCommand: "auftrag-buchen"})
 				if err != nil {
-					return // the node is gone
+					return // the node has been killed
 				}
 				mutex.Lock()
 				acknowledged = append(acknowledged, job.ID)
--- a/cmd/ospreybend/measure_kill_test.go
+++ b/cmd/ospreybend/measure_kill_test.go
@@ -12,18 +12,18 @@
 	"ospreybend/internal/testkit/fakeplatform"
 )
 
-// TestMain runs the test binary as the program where childEnv is set, for tests that need processes of it.
+// TestMain runs the test binary as the program itself if childEnv is set, for tests that start it as a process.
 func TestMain(m *testing.M) {
 	if os.Getenv(childEnv) != "" {
-		if os.Getenv(refuseEnv) != "" {
-			refuseSystemCalls()
+		if os.Getenv(denySystemCallsEnv) != "" {
+			denySystemCalls()
 		}
 		os.Exit(runCommand(catchSignals(), os.Args[1:], os.Stdout, os.Stderr))
 	}
 	os.Exit(m.Run())
 }
 
-// startChild starts the program as a node among fake workers that take the given time for a job.
+// startChild starts the program as a node with fake workers that take the given time for each job.
 func startChild(t *testing.T, workers, slots int, run time.Duration) (*fakeplatform.Fleet, *child) {
 	t.Helper()
 	fleet, err := fakeplatform.NewFleet(demoZone, demoKind, workers, slots, fakeplatform.For(run))
@@ -42,15 +42,15 @@
 	return fleet, n
 }
 
-// A node killed during a bulk submission has all of its jobs in the store or none, and the same submission, repeated, is
-// one array whose bookings begin once.
+// A node is killed at different times during a bulk submission. Its store must contain all jobs of the bulk or none, and
+// repeating the submission must yield one array whose bookings begin once.
 func TestNode_killedDuringBulkSubmission(t *testing.T) {
 	fleet, n := startChild(t, 2, 16, time.Millisecond)
-	made, err := n.admin.Create(t.Context(), "anna", 100_000)
+	tenant, err := n.admin.Create(t.Context(), "anna", 100_000)
 	if err != nil {
 		t.Fatal(err)
 	}
-	c, err := client.New(n.batch, made.Token)
+	c, err := client.New(n.batch, tenant.Token)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -64,15 +64,15 @@
 		b := drmaa.Bulk{Begin: 1, End: jobs, Template: &drmaa.JobTemplate{RemoteCommand: "auftrag-buchen", SubmitAsHold: true,
 			ClientKey: "bulk " + string(rune('a'+round))}}
 		ctx, stop := context.WithCancel(t.Context())
-		answered := make(chan error, 1)
-		go func() { _, err := s.RunBulk(ctx, b); answered <- err }()
+		bulkErr := make(chan error, 1)
+		go func() { _, err := s.RunBulk(ctx, b); bulkErr <- err }()
 		time.Sleep(time.Duration(5+round*12) * time.Millisecond)
 		if err := n.kill(); err != nil {
 			t.Fatal(err)
 		}
 		stop()
-		if err := <-answered; err != nil {
-			t.Log("the bulk call during the kill: ", err)
+		if err := <-bulkErr; err != nil {
+			t.Log("bulk submission during the kill: ", err)
 		}
 		if err := n.start(t.Context()); err != nil {
 			t.Fatal(err)
@@ -85,22 +85,22 @@
 			got++
 		}
 		if got != recorded && got != recorded+jobs {
-			t.Fatalf("round %d: %d jobs of a bulk of %d are in the store", round, got-recorded, jobs)
+			t.Fatalf("round %d: store has %d jobs of a bulk of %d after the kill, want all or none", round, got-recorded, jobs)
 		}
 		t.Logf("round %d: killed with %d of the bulk in the store", round, got-recorded)
 		a, err := s.RunBulk(t.Context(), b)
 		if err != nil || a.Jobs != jobs {
-			t.Fatal(a, err)
+			t.Fatalf("round %d: repeated bulk submission: array %+v, error %v; want %d jobs", round, a, err, jobs)
 		}
 		recorded += jobs
 	}
-	// One booking of the last bulk, released, begins once.
+	// A released booking begins once.
 	if err := s.Act(t.Context(), firstID(t, s), "release"); err != nil {
 		t.Fatal(err)
 	}
 	j, err := s.WaitAny(t.Context(), client.Terminated, "")
 	if err != nil || j.State != drmaa.Done || fleet.Begun()[j.ID] != 1 {
-		t.Errorf("%+v, begun %d times, %v", j, fleet.Begun()[j.ID], err)
+		t.Errorf("released booking: %+v, began %d times, error %v; want DONE and begun once", j, fleet.Begun()[j.ID], err)
 	}
 }
 
@@ -113,12 +113,12 @@
 		}
 		return j.ID
 	}
-	t.Fatal("no job")
+	t.Fatal("the session has no job")
 	return ""
 }
 
-// A node killed during bookings: after its restart none is lost, none begins twice, and only the few in flight to a worker
-// are undecided.
+// A node is killed during bookings. After its restart none must be lost or begin twice, and only the few that were in
+// flight to a worker may be undecided.
 func TestMeasureKill_duringBookings(t *testing.T) {
 	c := measureKill{Clients: 8, For: 300 * time.Millisecond, JobRun: 20 * time.Millisecond}
 	a, err := c.runRound(t.Context(), "", 0)
@@ -126,23 +126,23 @@
 		t.Fatal(err)
 	}
 	t.Logf("%+v", a)
-	if a.Acknowledged == 0 || a.Twice+a.Forgotten+a.OtherFailed > 0 || a.Done+a.Undecided != a.Acknowledged || a.Undecided > 64 {
-		t.Errorf("%+v", a)
+	if a.Acknowledged == 0 || a.BegunTwice+a.Lost+a.OtherFailed > 0 || a.Done+a.Undecided != a.Acknowledged || a.Undecided > 64 {
+		t.Errorf("audit after the restart: %+v; want acknowledged bookings, each done or undecided, at most 64 undecided, none lost or begun twice", a)
 	}
 }
 
-// A node that dies at any fault point of a booking: none is lost or begins twice, and undecided are only those that may
-// have reached a worker.
+// A node kills itself at each fault point of a booking in turn. No booking must be lost or begin twice, and only those
+// that may have reached a worker may be undecided.
 func TestMeasureKill_atEachFaultPoint(t *testing.T) {
 	c := measureKill{Clients: 4, JobRun: 10 * time.Millisecond}
 	for _, point := range faultinjection.Points() {
 		a, err := c.runRound(t.Context(), point, 9)
 		if err != nil {
-			t.Fatal(point, err)
+			t.Fatalf("fault point %s: %v", point, err)
 		}
 		t.Logf("%+v", a)
-		if a.Twice+a.Forgotten+a.OtherFailed > 0 || a.Done+a.Undecided != a.Acknowledged {
-			t.Errorf("%+v", a)
+		if a.BegunTwice+a.Lost+a.OtherFailed > 0 || a.Done+a.Undecided != a.Acknowledged {
+			t.Errorf("fault point %s: audit %+v; want each acknowledged booking done or undecided, none lost or begun twice", point, a)
 		}
 	}
 }
--- a/cmd/ospreybend/measure_shutdown.go
+++ b/cmd/ospreybend/measure_shutdown.go
@@ -20,41 +20,41 @@
 const (
 	shutdownWorkers         = 4
 	shutdownSlots           = 64
-	shutdownWarmUpResponses = 5 // of each client, before the signal
-	// shutdownResponseTimeout is how long a client waits for a response before it counts as lost. No response takes so long:
-	// the node ends the requests that it has before it ends itself.
+	shutdownWarmUpResponses = 5 // to each client, on average, before the signal
+	// shutdownResponseTimeout is how long a client waits for a response before it counts the request as lost. No response
+	// takes that long, because the node finishes its requests before it exits.
 	shutdownResponseTimeout = time.Minute
 
 	maxShutdownTime = 4 * time.Second
-	// maxUnreadPart is the part of the responses after the signal that the unread requests may come to.
-	maxUnreadPart = 1. / 20
+	// maxUnreadFraction is the highest allowed ratio of unread requests to responses after the signal.
+	maxUnreadFraction = 1. / 20
 )
 
-// Errors of the measurement of a shutdown.
+// Errors returned if a shutdown does not keep its guarantees.
 var (
-	errShutdownLost = errors.New("a request was lost, or ran though its connection was closed unread")
+	errShutdownLost = errors.New("a request was lost, or ran although its connection was closed before it was read")
 	errShutdownLate = errors.New("the process took too long to shut down, or left too many requests unread")
 )
 
-// measureShutdown sends a node SIGTERM under constant load and reports how long it takes to end and what became of the
-// requests.
+// measureShutdown sends SIGTERM to a node under constant load and reports how long it takes to exit and what the outcome
+// of the requests was.
 type measureShutdown struct {
-	Clients int           `default:"100" help:"Each sends one request after the other."`
-	JobRun  time.Duration `help:"Of a job at a prep worker." default:"40ms"`
-	Hang    bool          `help:"One of the four prep workers reports the start of its jobs and nothing more."`
+	Clients int           `default:"100" help:"Number of clients; each sends one request after the other."`
+	JobRun  time.Duration `help:"Run time of a job on a prep worker." default:"40ms"`
+	Hang    bool          `help:"Let one of the four prep workers hang: it reports the start of its jobs and nothing more."`
 }
 
-// shutdownResult is what became of the requests of clients that go on sending during a shutdown.
+// shutdownResult counts the outcomes of the requests of clients that keep sending during a shutdown.
 type shutdownResult struct {
-	Took        float64  `json:"tookMs"` // from SIGTERM to the end of the process
+	Took        float64  `json:"tookMs"` // from SIGTERM to the exit of the process
 	Answered    int      `json:"answered"`
-	Unread      int      `json:"unread"`      // connections that were closed before their last request was read
-	RanUnread   int      `json:"ranUnread"`   // unread requests that a worker began all the same
+	Unread      int      `json:"unread"`      // connections closed before their last request was read
+	RanUnread   int      `json:"ranUnread"`   // unread requests that a worker began nevertheless
 	Lost        []string `json:"lost"`        // requests without a complete response
 	AfterSignal int      `json:"afterSignal"` // responses after SIGTERM
 }
 
-// Run plays the shutdown and fails if a request was lost or the process took too long.
+// Run measures the shutdown and returns an error if a request was lost or the process took too long.
 func (c *measureShutdown) Run(env *cli.Env) error {
 	fleet, err := fakeplatform.NewFleet(demoZone, demoKind, shutdownWorkers, shutdownSlots, fakeplatform.For(c.JobRun))
 	if err != nil {
@@ -86,40 +86,40 @@
 	return result.check()
 }
 
-// check compares the result with what a shutdown promises.
+// check returns an error if the result violates the guarantees of a shutdown.
 func (r shutdownResult) check() error {
 	switch {
 	case len(r.Lost) > 0 || r.RanUnread > 0:
 		return errShutdownLost
-	case r.Took > milliseconds(maxShutdownTime) || float64(r.Unread) > maxUnreadPart*float64(r.AfterSignal):
+	case r.Took > milliseconds(maxShutdownTime) || float64(r.Unread) > maxUnreadFraction*float64(r.AfterSignal):
 		return errShutdownLate
 	}
 	return nil
 }
 
-// play loads the node, sends it SIGTERM once all clients are served, and waits for its end and theirs.
+// play puts the node under load, sends SIGTERM after the warm-up responses, and waits for the node and all clients to end.
 func (c *measureShutdown) play(ctx context.Context, fleet *fakeplatform.Fleet, node *child) (shutdownResult, error) {
 	var result shutdownResult
 	var unreadIDs []string
 	var mutex sync.Mutex
-	var all sync.WaitGroup
+	var clients sync.WaitGroup
 	warm := make(chan struct{})
-	count := func(ended outcome, what string) {
+	count := func(requestOutcome outcome, detail string) {
 		mutex.Lock()
 		defer mutex.Unlock()
-		switch ended {
+		switch requestOutcome {
 		case answered:
 			if result.Answered++; result.Answered == shutdownWarmUpResponses*c.Clients {
 				close(warm)
 			}
 		case unread:
-			unreadIDs = append(unreadIDs, what)
+			unreadIDs = append(unreadIDs, detail)
 		default:
-			result.Lost = append(result.Lost, what)
+			result.Lost = append(result.Lost, detail)
 		}
 	}
 	for i := range c.Clients {
-		all.Go(func() { sendUntilClosed(strings.TrimPrefix(node.platform, "http://"), i, count) })
+		clients.Go(func() { sendUntilRefused(strings.TrimPrefix(node.platform, "http://"), i, count) })
 	}
 	select {
 	case <-warm:
@@ -135,7 +135,7 @@
 	began := time.Now()
 	err := node.shutdown()
 	result.Took = milliseconds(time.Since(began))
-	all.Wait()
+	clients.Wait()
 	begun := fleet.Begun()
 	for _, id := range unreadIDs {
 		result.RanUnread += begun[id]
@@ -144,18 +144,18 @@
 	return result, err
 }
 
-// outcome is what became of one request of a client that never stops sending.
+// outcome is the outcome of one request of a client that keeps sending.
 type outcome int
 
 const (
 	answered outcome = iota // a complete response arrived
-	unread                  // the connection was closed without a byte: the node did not read the request
+	unread                  // the connection was closed without a response byte: the node did not read the request
 	broken                  // anything else
 )
 
-// sendUntilClosed sends requests on one connection after the other, as fast as responses arrive, until nobody listens any
-// more. It uses each connection until the node closes it.
-func sendUntilClosed(address string, client int, count func(outcome, string)) {
+// sendUntilRefused sends requests one after the other, as fast as responses arrive, until the node refuses connections. It
+// uses each connection until the node closes it.
+func sendUntilRefused(address string, client int, count func(outcome, string)) {
 	for n := 0; ; {
 		c, err := net.Dial("tcp", address)
 		if err != nil {
@@ -171,24 +171,24 @@
 			}
 			_ = c.SetReadDeadline(time.Now().Add(shutdownResponseTimeout))
 			if _, err := r.Peek(1); err != nil {
-				var late net.Error
-				if errors.As(err, &late) && late.Timeout() {
-					count(broken, id+": no answer, and the connection stays open")
+				var netErr net.Error
+				if errors.As(err, &netErr) && netErr.Timeout() {
+					count(broken, id+": no response, and the connection stays open")
 				} else {
 					count(unread, id)
 				}
 				break
 			}
-			answer, err := http.ReadResponse(r, nil)
+			response, err := http.ReadResponse(r, nil)
 			if err == nil {
-				_, err = io.Copy(io.Discard, answer.Body)
+				_, err = io.Copy(io.Discard, response.Body)
 			}
 			if err != nil {
 				count(broken, id+": "+err.Error())
 				break
 			}
 			count(answered, id)
-			if answer.Close {
+			if response.Close {
 				break
 			}
 		}
--- a/cmd/ospreybend/measure_stall.go
+++ b/cmd/ospreybend/measure_stall.go
@@ -16,13 +16,13 @@
 	"ospreybend/internal/testkit/loadgen"
 )
 
-// measureStall stalls the store of record under load and measures both servers.
+// measureStall stalls the store of record under load and measures the platform server and the batch API.
 type measureStall struct {
-	For     time.Duration `help:"Of a phase." default:"12s"`
-	Stall   time.Duration `default:"5s"`
-	Clients int           `help:"That book at once." default:"8"`
-	Rate    float64       `help:"Platform requests a second." default:"100"`
-	Kill    bool          `help:"Kill the node amid the stall, and start it again."`
+	For     time.Duration `help:"Length of a phase." default:"12s"`
+	Stall   time.Duration `help:"Length of the stall." default:"5s"`
+	Clients int           `help:"Number of concurrent clients that submit bookings." default:"8"`
+	Rate    float64       `help:"Platform requests per second." default:"100"`
+	Kill    bool          `help:"Kill the node during the stall and restart it."`
 }
 
 // stallPhase is the result of one phase.
@@ -34,13 +34,13 @@
 	P99              float64 `json:"p99ms"`
 	Booked           int     `json:"bookingsAcknowledged"`
 	Rejected         int     `json:"bookingsTurnedAway"`
-	MaxAnswerTime    float64 `json:"longestAnswerMs"` // of a booking client
+	MaxAnswerTime    float64 `json:"longestAnswerMs"` // to a booking client
 	Done             int     `json:"done"`
 	Undecided        int     `json:"undecided"`
 	BegunTwiceOrLost int     `json:"begunTwiceOrForgotten"`
 }
 
-// Run plays a phase without and one with a stall, and fails if a booking was lost or begun twice.
+// Run runs a phase without and one with a stall, and returns an error if a booking was lost or begun more than once.
 func (c *measureStall) Run(env *cli.Env) error {
 	var phases []stallPhase
 	for _, stalled := range []bool{false, true} {
@@ -54,20 +54,20 @@
 		return err
 	}
 	if phases[0].BegunTwiceOrLost+phases[1].BegunTwiceOrLost > 0 {
-		return errWronglyBegun
+		return errBookingLostOrDuplicated
 	}
 	return nil
 }
 
 func printStallPhases(w io.Writer, phases []stallPhase) {
-	fmt.Fprintln(w, "STALL\tSENT\tSERVICE\tREFUSED\tP99\tBOOKED\tTURNED AWAY\tLONGEST ANSWER ms\tDONE\tUNDECIDED\tTWICE OR FORGOTTEN")
+	fmt.Fprintln(w, "STALL\tSENT\tSERVICE\tREFUSED\tP99\tBOOKED\tREJECTED\tLONGEST ANSWER ms\tDONE\tUNDECIDED\tBEGUN TWICE OR LOST")
 	for _, phase := range phases {
 		fmt.Fprintf(w, "%v\t%d\t%.4f\t%d\t%.1f\t%d\t%d\t%.0f\t%d\t%d\t%d\n", phase.Stalled, phase.Sent, phase.Service, phase.Refused,
 			phase.P99, phase.Booked, phase.Rejected, phase.MaxAnswerTime, phase.Done, phase.Undecided, phase.BegunTwiceOrLost)
 	}
 }
 
-// runPhase starts a node, which stalls its store if that is asked for, and loads both of its servers.
+// runPhase starts a node, whose store stalls if stalled is set, and puts both of its servers under load.
 func (c *measureStall) runPhase(ctx context.Context, stalled bool) (stallPhase, error) {
 	phase := stallPhase{Stalled: stalled}
 	dir, err := os.MkdirTemp("", "ospreybend-stall-")
@@ -103,8 +103,8 @@
 	return phase, phase.audit(ctx, session, fleet, acknowledged)
 }
 
-// loadBothServers sends requests to the platform's server and bookings to the batch server for the length of a phase. It
-// kills the node meanwhile, and starts it again, if that is asked for. It returns the acknowledged bookings.
+// loadBothServers sends requests to the platform server and bookings to the batch API for the length of a phase, and
+// returns the acknowledged bookings. In a stalled phase with --kill it also kills the node and restarts it.
 func (c *measureStall) loadBothServers(ctx context.Context, node *child, session *client.Session, phase *stallPhase) (acknowledged []string, err error) {
 	var platform *loadgen.Result
 	var requests sync.WaitGroup
@@ -128,7 +128,7 @@
 	return acknowledged, nil
 }
 
-// audit waits for each of the acknowledged bookings and counts what became of it.
+// audit waits for each of the acknowledged bookings and counts its outcome.
 func (p *stallPhase) audit(ctx context.Context, session *client.Session, fleet *fakeplatform.Fleet, acknowledged []string) error {
 	for _, id := range acknowledged {
 		job, err := session.Wait(ctx, id, client.Terminated)
@@ -147,10 +147,10 @@
 	return nil
 }
 
-// submitBookings submits bookings from several clients, each ten times a second at most, and returns the identifiers of the
-// acknowledged jobs.
+// submitBookings submits bookings from concurrent clients, each at most ten times per second, and returns the identifiers
+// of the acknowledged jobs.
 func (c *measureStall) submitBookings(ctx context.Context, session *client.Session, phase *stallPhase) (acknowledged []string) {
-	var mutex sync.Mutex // of acknowledged and phase
+	var mutex sync.Mutex // guards acknowledged and phase
 	var clients sync.WaitGroup
 	began := time.Now()
 	for range c.Clients {
--- a/cmd/ospreybend/measure_submit.go
+++ b/cmd/ospreybend/measure_submit.go
@@ -22,17 +22,18 @@
 	"ospreybend/internal/testkit/fakeplatform"
 )
 
-// bareRowBytes is about what the row of a job takes in the store.
+// bareRowBytes is the approximate size of a job's row in the store.
 const bareRowBytes = 600
 
-// measureSubmit compares submissions with a bare loop of SQLite commits, and measures a bulk.
+// measureSubmit compares the rate of submissions with that of a plain loop of SQLite commits, and measures a bulk
+// submission.
 type measureSubmit struct {
-	Clients int           `help:"That submit at once." default:"32"`
-	For     time.Duration `default:"5s"`
-	Bulk    int           `help:"Jobs of the bulk." default:"10000"`
+	Clients int           `help:"Number of concurrent clients in the second rate of submissions." default:"32"`
+	For     time.Duration `help:"Duration of each rate measurement." default:"5s"`
+	Bulk    int           `help:"Number of jobs in the bulk submission." default:"10000"`
 }
 
-// submissionRate is how often one call was made, and how long it took.
+// submissionRate is the measured rate and latency of one kind of call.
 type submissionRate struct {
 	Name      string  `json:"name"`
 	PerSecond float64 `json:"perSecond"`
@@ -40,7 +41,7 @@
 	P99       float64 `json:"p99ms"`
 }
 
-// submitResult is all that the command measures, with members in alphabetical order.
+// submitResult is everything that the command measures. Its JSON members are in alphabetical order.
 type submitResult struct {
 	BulkJobs        int              `json:"bulkJobs"`
 	BulkSeconds     float64          `json:"bulkSeconds"`
@@ -52,10 +53,10 @@
 	RunSeconds      float64          `json:"runSeconds"`
 }
 
-// measureRate calls f from several goroutines for a while.
+// measureRate runs call repeatedly from concurrent clients for the given duration. i numbers the calls.
 func measureRate(name string, clients int, duration time.Duration, call func(i int) error) (submissionRate, error) {
 	histogram := hdrhistogram.New(1, 60_000_000, 3) // microseconds
-	var mutex sync.Mutex                            // of histogram and errs
+	var mutex sync.Mutex                            // guards histogram and errs
 	var errs error
 	var callers sync.WaitGroup
 	began := time.Now()
@@ -82,7 +83,7 @@
 	}, errs
 }
 
-// Run measures the rates and then the bulk.
+// Run measures the rates and then the bulk submission.
 func (c *measureSubmit) Run(env *cli.Env) error {
 	dir, err := os.MkdirTemp("", "ospreybend-measure-")
 	if err != nil {
@@ -118,7 +119,7 @@
 	return env.Show(result, func(w io.Writer) { c.print(w, result) })
 }
 
-// measureRates measures bare commits before and after the submissions, so that a drift of the disk shows.
+// measureRates measures the submissions, and plain commits before and after them so that a drift of the disk shows.
 func (c *measureSubmit) measureRates(ctx context.Context, dir string, session *client.Session) ([]submissionRate, error) {
 	db, err := openBareStore(dir)
 	if err != nil {
@@ -137,10 +138,10 @@
 		clients int
 		f       func(int) error
 	}{
-		{"bare commits, one after the other", 1, commit},
+		{"plain commits, 1 client", 1, commit},
 		{"submissions, 1 client", 1, submit},
 		{"submissions, " + strconv.Itoa(c.Clients) + " clients", c.Clients, submit},
-		{"bare commits again", 1, commit},
+		{"plain commits again", 1, commit},
 	} {
 		rate, err := measureRate(call.name, call.clients, c.For, call.f)
 		if err != nil {
@@ -151,7 +152,7 @@
 	return rates, nil
 }
 
-// openBareStore opens an SQLite file with one table that syncs each commit, as the store of record does.
+// openBareStore opens an SQLite file with a single table that syncs each commit, as the store of record does.
 func openBareStore(dir string) (*sql.DB, error) {
 	db, err := sql.Open("sqlite", "file:"+filepath.Join(dir, "bare.db")+"?_pragma=journal_mode(WAL)&_pragma=synchronous(FULL)")
 	if err != nil {
@@ -164,7 +165,7 @@
 	return db, nil
 }
 
-// measureBulk submits a bulk of pending jobs, releases them and waits until all have run.
+// measureBulk submits a bulk of jobs on hold, releases them and waits until all have ended.
 func (c *measureSubmit) measureBulk(ctx context.Context, node *child, session *client.Session) (result submitResult, err error) {
 	result.MemoryBefore, _ = node.memory()
 	began := time.Now()
@@ -185,20 +186,20 @@
 	result.RunSeconds = time.Since(began).Seconds()
 	result.CPUMicrosPerJob = ((node.cpuTime() - cpu) / time.Duration(max(array.Jobs, 1))).Microseconds()
 	if done := ended.States[drmaa.Done]; done != array.Jobs {
-		return result, fmt.Errorf("of %d jobs %d are done: %v", array.Jobs, done, ended.States)
+		return result, fmt.Errorf("bulk of %d jobs: %d are done, want all; states %v", array.Jobs, done, ended.States)
 	}
 	return result, nil
 }
 
 func (c *measureSubmit) print(w io.Writer, result submitResult) {
-	fmt.Fprintln(w, "WHAT\tA SECOND\tP50 ms\tP99 ms")
+	fmt.Fprintln(w, "CALL\tPER SECOND\tP50 ms\tP99 ms")
 	for _, rate := range result.Rates {
 		fmt.Fprintf(w, "%s\t%.0f\t%.2f\t%.2f\n", rate.Name, rate.PerSecond, rate.P50, rate.P99)
 	}
 	bare := (result.Rates[0].PerSecond + result.Rates[3].PerSecond) / 2
-	fmt.Fprintf(w, "\nsubmissions to bare commits: 1 client %.2f, %d clients %.2f\n", result.Rates[1].PerSecond/bare, c.Clients, result.Rates[2].PerSecond/bare)
-	fmt.Fprintf(w, "bulk of %d: %.0f ms; the node's memory %d MiB before, %d after, %d at most\n", result.BulkJobs, result.BulkSeconds*1000,
+	fmt.Fprintf(w, "\nratio of submissions to plain commits: 1 client %.2f, %d clients %.2f\n", result.Rates[1].PerSecond/bare, c.Clients, result.Rates[2].PerSecond/bare)
+	fmt.Fprintf(w, "bulk submission of %d jobs: %.0f ms; memory of the node: %d MiB before, %d after, %d at peak\n", result.BulkJobs, result.BulkSeconds*1000,
 		result.MemoryBefore>>10, result.MemoryAfter>>10, result.MemoryPeak>>10)
-	fmt.Fprintf(w, "released and run to the end: %.1f s, %.0f jobs a second, the node's CPU %d us a job\n", result.RunSeconds,
+	fmt.Fprintf(w, "release until all jobs ended: %.1f s, %.0f jobs per second, CPU time of the node %d us per job\n", result.RunSeconds,
 		float64(result.BulkJobs)/result.RunSeconds, result.CPUMicrosPerJob)
 }
--- a/cmd/ospreybend/measure_trial.go
+++ b/cmd/ospreybend/measure_trial.go
@@ -16,18 +16,18 @@
 
 // measureTrial runs many processes of this program and injects faults between them.
 type measureTrial struct {
-	Kind    string        `arg:"" enum:"zone" help:"What fails: zone."`
-	Seed    uint64        `help:"Draws the faults and the clients." default:"1"`
-	Alone   bool          `help:"The same faults, with each process for itself."`
-	Without string        `help:"Leave out a check of the protocol: share, majority."`
-	Calm    time.Duration `help:"Before the trouble." default:"4s"`
-	Trouble time.Duration `help:"Its length." default:"8s"`
-	After   time.Duration `help:"After it." default:"22s"`
-	Rate    float64       `help:"Requests a second at each node." default:"40"`
-	Keep    string        `help:"Keep the processes' files and logs in this folder." type:"path"`
+	Kind    string        `arg:"" enum:"zone" help:"What fails in the trial; zone is the only kind."`
+	Seed    uint64        `help:"Seed of the faults and of the clients' requests." default:"1"`
+	Alone   bool          `help:"Inject the same faults, but run each process without a fleet."`
+	Without string        `help:"Disable one check of the fleet's protocol: share or majority."`
+	Calm    time.Duration `help:"Time before the faults." default:"4s"`
+	Trouble time.Duration `help:"Time with faults." default:"8s"`
+	After   time.Duration `help:"Time after the faults." default:"22s"`
+	Rate    float64       `help:"Requests per second to each node." default:"40"`
+	Keep    string        `help:"Directory in which to keep the processes' files and logs." type:"path"`
 }
 
-// errTrialViolations is returned after a trial that has found violations.
+// errTrialViolations is returned after a trial that found violations of the fleet's guarantees.
 var errTrialViolations = errors.New("the trial has found violations")
 
 // errTrialNotRun is wrapped by the errors of a trial that could not run.
@@ -36,10 +36,10 @@
 // Run runs the trial and prints what it found.
 func (c *measureTrial) Run(env *cli.Env) error {
 	if c.Without != "" && !slices.Contains([]string{"share", "majority"}, c.Without) {
-		return fmt.Errorf("%w: --without: %q is no check of the trial's", errTrialNotRun, c.Without)
+		return fmt.Errorf("%w: --without: unknown check %q, must be share or majority", errTrialNotRun, c.Without)
 	}
 	if c.Calm <= 0 || c.Trouble <= 0 || c.After <= 0 || !(c.Rate > 0) {
-		return fmt.Errorf("%w: --calm, --trouble, --after and --rate have to be above 0", errTrialNotRun)
+		return fmt.Errorf("%w: --calm, --trouble, --after and --rate must be above 0", errTrialNotRun)
 	}
 	result, err := c.runTrial(env.Ctx)
 	if err != nil {
@@ -54,7 +54,7 @@
 	return nil
 }
 
-// runTrial runs the trial in the folder that is to be kept, or in a temporary one.
+// runTrial runs the trial in the directory given by --keep, or in a temporary one.
 func (c *measureTrial) runTrial(ctx context.Context) (endtoend.Report, error) {
 	program, err := os.Executable()
 	if err != nil {
--- a/cmd/ospreybend/restart_testbed.go
+++ b/cmd/ospreybend/restart_testbed.go
@@ -17,23 +17,23 @@
 	"ospreybend/internal/testkit/loadgen"
 )
 
-// restartLoadDeadline is how long the clients of a restart's load wait.
+// restartLoadDeadline is how long the clients of the load during a hot restart wait for a response.
 const restartLoadDeadline = 3 * time.Second
 
-// restartSite is what the processes of one node share over hot restarts: a fleet of fake workers, the clients' socket,
-// which the platform keeps open, and the node's files.
-type restartSite struct {
+// restartTestbed is what the processes of one node share across hot restarts: a fleet of fake workers, the clients'
+// socket, which the platform keeps open, and the node's files.
+type restartTestbed struct {
 	fleet       *fakeplatform.Fleet
 	listener    net.Listener
-	socket      *os.File // the listener's, passed to the processes
+	socket      *os.File // file of the listener, passed to the processes
 	dir         string
 	address     string // of the clients' socket
 	peerAddress string
 }
 
-// newRestartSite creates a site without a process. sockets is the node's limit on descriptors.
-func newRestartSite(workers, slots, sockets int, script fakeplatform.Script) (s *restartSite, err error) {
-	s = &restartSite{}
+// newRestartTestbed creates a testbed without a process. sockets is the node's descriptor limit.
+func newRestartTestbed(workers, slots, sockets int, script fakeplatform.Script) (s *restartTestbed, err error) {
+	s = &restartTestbed{}
 	defer func() {
 		if err != nil {
 			s.close()
@@ -66,7 +66,7 @@
 	return s, os.WriteFile(filepath.Join(s.dir, "node.json"), text, 0o600)
 }
 
-func (s *restartSite) close() {
+func (s *restartTestbed) close() {
 	if s.fleet != nil {
 		s.fleet.Stop()
 	}
@@ -79,15 +79,15 @@
 	_ = os.RemoveAll(s.dir)
 }
 
-// serverProcess is one process of the node, started on the clients' socket.
+// serverProcess is one process of the node. It inherits the clients' socket.
 type serverProcess struct {
 	child
-	admin     string
-	readyTime time.Duration // from its start until it reported that it was ready
+	admin     string        // address of the administration server
+	readyTime time.Duration // from the start of the process until it was ready
 }
 
-// start starts one more process and waits until it reports that it is ready.
-func (s *restartSite) start(ctx context.Context) (*serverProcess, error) {
+// start starts another process and waits until it reports that it is ready.
+func (s *restartTestbed) start(ctx context.Context) (*serverProcess, error) {
 	self, err := os.Executable()
 	if err != nil {
 		return nil, err
@@ -113,44 +113,44 @@
 	p.readyTime = time.Since(began)
 	if err != nil {
 		log, _ := os.ReadFile(filepath.Join(s.dir, "log"))
-		return nil, errors.Join(fmt.Errorf("process never ready: %w; its log: %s", err, log), p.kill())
+		return nil, errors.Join(fmt.Errorf("process did not become ready: %w; log: %s", err, log), p.kill())
 	}
 	return p, nil
 }
 
-// call calls the administration server. Status 0 stands for no answer, with the error as its text.
+// call sends a request to the administration server. If there is no response, it returns status 0 and the error's text.
 func (p *serverProcess) call(method, path string) (status int, text string) {
-	in, err := http.NewRequest(method, "http://"+p.admin+path, nil)
+	request, err := http.NewRequest(method, "http://"+p.admin+path, nil)
 	if err != nil {
 		return 0, err.Error()
 	}
-	in.Close = true
-	answer, err := http.DefaultClient.Do(in)
+	request.Close = true
+	response, err := http.DefaultClient.Do(request)
 	if err != nil {
 		return 0, err.Error()
 	}
-	defer answer.Body.Close()
-	body, _ := io.ReadAll(answer.Body)
-	return answer.StatusCode, string(body)
+	defer response.Body.Close()
+	body, _ := io.ReadAll(response.Body)
+	return response.StatusCode, string(body)
 }
 
-// hasMetric reports whether the process shows a metric with this value.
+// hasMetric reports whether the metrics of the process contain the given line, without the prefix of its name.
 func (p *serverProcess) hasMetric(metric string) bool {
 	_, text := p.call("GET", "/-/metrics")
 	return strings.Contains(text, "balancer."+metric+"\n")
 }
 
 // load returns the configuration of a load on the clients' address.
-func (s *restartSite) load(prefix string, rate float64, span time.Duration) loadgen.Config {
+func (s *restartTestbed) load(prefix string, rate float64, duration time.Duration) loadgen.Config {
 	class := func(name string) loadgen.Class {
 		return loadgen.Class{Name: name, Share: 0.5, Target: time.Second, Within: restartLoadDeadline}
 	}
-	return loadgen.Config{URL: "http://" + s.address, Rate: rate, For: span, Seed: 5, Prefix: prefix,
+	return loadgen.Config{URL: "http://" + s.address, Rate: rate, For: duration, Seed: 5, Prefix: prefix,
 		Classes: []loadgen.Class{class("modell-pruefen"), class("auftrag-buchen")}}
 }
 
-// begunTwice returns how many jobs were begun more than once.
-func (s *restartSite) begunTwice() (n int) {
+// begunTwice returns how many jobs workers have begun more than once.
+func (s *restartTestbed) begunTwice() (n int) {
 	for _, times := range s.fleet.Begun() {
 		if times > 1 {
 			n++
