--- a/cmd/ospreybend/batch.go
+++ b/cmd/ospreybend/batch.go
@@ -13,21 +13,21 @@
 	"ospreybend/internal/node/protocol"
 )
 
-// storeLoadTimeout limits how long a start reads what the store of record holds.
+// storeLoadTimeout limits how long the node reads the store of record at startup.
 const storeLoadTimeout = 30 * time.Second
 
-// batchFront wires the parts of the batch API.
-type batchFront struct {
+// batchAPI holds the parts of the batch API: job manager, store and HTTP servers.
+type batchAPI struct {
 	cfg      nodeconfig.Batch
 	jobs     *jobs.Manager
-	admin    *httpapi.Admin // nil: none
+	admin    *httpapi.Admin // nil if no administration address is configured
 	executor *store.Executor
 	servers  []*protocol.Server
 }
 
-// startBatch starts the batch API beside the platform's server, on the same core. The node's configuration has reserved
-// its descriptors (nodeconfig.Node.ReserveBatch).
-func (n *node) startBatch(cfg nodeconfig.Batch) (*batchFront, error) {
+// startBatch starts the batch API next to the platform's HTTP server, on the same routing core. The node's configuration
+// has already reserved its file descriptors (nodeconfig.Node.ReserveBatch).
+func (n *node) startBatch(cfg nodeconfig.Batch) (*batchAPI, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), storeLoadTimeout)
 	defer cancel()
 	record, err := store.Open(ctx, cfg.Store, cfg.Source)
@@ -36,17 +36,17 @@
 	}
 	tenants, err := record.Tenants(ctx)
 	if err != nil {
-		return nil, fmt.Errorf("store: %w", err)
+		return nil, fmt.Errorf("store: read tenants: %w", err)
 	}
 	sessions, err := record.Sessions(ctx)
 	if err != nil {
-		return nil, fmt.Errorf("store: %w", err)
+		return nil, fmt.Errorf("store: read sessions: %w", err)
 	}
 	unfinished, arrays, err := record.Unfinished(ctx)
 	if err != nil {
-		return nil, fmt.Errorf("store: %w", err)
+		return nil, fmt.Errorf("store: read unfinished jobs: %w", err)
 	}
-	f := &batchFront{cfg: cfg, executor: store.NewExecutor(record, n.loop.Post)}
+	f := &batchAPI{cfg: cfg, executor: store.NewExecutor(record, n.loop.Post)}
 	n.loop.Call(func() {
 		f.jobs = jobs.New(n.jobsConfig(cfg), n.core, f.executor, n.loop, &n.loop.Timers)
 		n.core.SetLoadObserver(f.jobs)
@@ -69,9 +69,9 @@
 	}
 }
 
-// startServers starts the servers of the tenants and, where it has an address, of the administration. It runs on the
-// loop.
-func (f *batchFront) startServers(node *node) error {
+// startServers starts the tenants' server and, if an address is configured for it, the administration server. It runs on
+// the event loop.
+func (f *batchAPI) startServers(node *node) error {
 	cfg := f.cfg
 	api := httpapi.New(f.jobs, node.loop, &node.loop.Timers, version)
 	f.servers = append(f.servers, protocol.NewServer(node.loop, cfg.Listen, cfg.MaxSockets, node.cfg.FrontMaxBufferedBytes, api.Serve))
@@ -88,8 +88,8 @@
 	return nil
 }
 
-// batchSlots returns how many slots batch jobs may take in the core at once; the other connections are reserved for the
-// platform's requests.
+// batchSlots returns how many slots batch jobs may occupy in the core at once. At least half of the connections to
+// destinations stays reserved for the platform's requests.
 func (n *node) batchSlots(cfg nodeconfig.Batch) float64 {
 	slots := n.cfg.MaxDestinationConns / 2
 	if cfg.Slots > 0 {
@@ -98,16 +98,16 @@
 	return float64(slots)
 }
 
-// reload reads the batch API's file again, applies what can change while it runs and logs the other changed keys. An
-// invalid file changes nothing. It runs off the loop.
-func (f *batchFront) reload(node *node, getenv func(string) string) {
+// reload rereads the batch API's configuration file, applies the settings that can change at run time and logs the other
+// changed keys. An invalid file changes nothing. It must not be called on the event loop.
+func (f *batchAPI) reload(node *node, getenv func(string) string) {
 	cfg, err := nodeconfig.LoadBatch(getenv)
 	if err != nil {
-		slog.Error("reload: invalid configuration of the batch front ignored", "error", err)
+		slog.Error("reload: invalid batch API configuration ignored", "error", err)
 		return
 	}
 	if keys := f.cfg.NeedRestart(cfg); len(keys) > 0 {
-		slog.Warn("reload: some keys of the batch front take effect at the next start", "keys", keys)
+		slog.Warn("reload: some batch API keys take effect at the next start", "keys", keys)
 	}
 	if !cfg.Enabled {
 		return
@@ -123,9 +123,9 @@
 		"events", cfg.MaxEvents)
 }
 
-// shutdown ends the batch API once all its requests in flight are answered, or by the deadline. The store has the jobs
-// that are unfinished then. It runs off the loop.
-func (f *batchFront) shutdown(node *node, deadline time.Time) {
+// shutdown stops the batch API once no operation or write is in progress, or at the deadline. Jobs that are unfinished by
+// then remain in the store. It must not be called on the event loop.
+func (f *batchAPI) shutdown(node *node, deadline time.Time) {
 	pending := func() (count int) {
 		node.loop.Call(func() { count = f.jobs.Pending() })
 		return count
--- a/cmd/ospreybend/child_process.go
+++ b/cmd/ospreybend/child_process.go
@@ -16,13 +16,13 @@
 	"ospreybend/internal/testkit/fakeplatform"
 )
 
-// childEnv names the variable that has a test binary run as the program.
+// childEnv is the environment variable that makes a test binary run as the program itself.
 const childEnv = "OSPREYBEND_CHILD"
 
-// clockTicksPerSecond is the unit of processor times in /proc, on all of Linux's architectures that Go supports.
+// clockTicksPerSecond is the unit of CPU times in /proc on every Linux architecture that Go supports.
 const clockTicksPerSecond = 100
 
-// child is a node in a process of its own, for measurements and kills.
+// child is a node that runs in a separate process, so that it can be measured and killed.
 type child struct {
 	cmd           *exec.Cmd // nil: not running
 	dir           string
@@ -32,7 +32,7 @@
 	batchDisabled bool
 }
 
-// newChild writes a node's configuration files into dir. extra is further lines of the batch API's file.
+// newChild writes a node's configuration files into dir. extra is appended to the batch API's file.
 func newChild(dir, discovery, extra string) (*child, error) {
 	addresses, err := newDemoAddresses()
 	if err != nil {
@@ -50,10 +50,10 @@
 		os.WriteFile(filepath.Join(dir, "batch.toml"), []byte(demoBatchConfig(addresses, dir)+extra), 0o600))
 }
 
-// start starts the process and waits until it serves.
+// start starts the process and waits until all of its servers answer.
 func (c *child) start(ctx context.Context) error { return c.startWithEnv(ctx) }
 
-// startWithEnv starts the process with further variables in its environment and waits until it serves.
+// startWithEnv is start with additional environment variables.
 func (c *child) startWithEnv(ctx context.Context, env ...string) error {
 	self, err := os.Executable()
 	if err != nil {
@@ -75,7 +75,8 @@
 	return fakeplatform.WaitUntil(ctx, demoReadyTimeout, func() bool { return c.serves(ctx) })
 }
 
-// serves reports whether all servers of the process answer. The batch API's administration opens last.
+// serves reports whether all servers of the process answer. The batch API's administration server opens last, so it is
+// the last one checked.
 func (c *child) serves(ctx context.Context) bool {
 	response, err := http.Get(c.platform + "/healthz")
 	if err != nil {
@@ -92,7 +93,7 @@
 	return err == nil
 }
 
-// kill kills the process, if it runs, and waits for its end.
+// kill sends SIGKILL to the process if it is running, and waits for it to exit.
 func (c *child) kill() error {
 	if c.cmd == nil {
 		return nil
@@ -103,7 +104,7 @@
 	return err
 }
 
-// waitExit waits until the process has ended by itself.
+// waitExit waits until the process has exited on its own.
 func (c *child) waitExit() {
 	if c.cmd != nil {
 		_ = c.cmd.Wait()
@@ -111,7 +112,7 @@
 	}
 }
 
-// shutdown sends the process SIGTERM and waits for its end.
+// shutdown sends SIGTERM to the process and waits for it to exit.
 func (c *child) shutdown() error {
 	if c.cmd == nil {
 		return nil
@@ -124,7 +125,7 @@
 	return err
 }
 
-// cpuTime returns the processor time that the process has used; 0 if it cannot be read.
+// cpuTime returns the CPU time that the process has used, or 0 if it cannot be read.
 func (c *child) cpuTime() time.Duration {
 	text, err := os.ReadFile("/proc/" + strconv.Itoa(c.cmd.Process.Pid) + "/stat")
 	if err != nil {
@@ -136,7 +137,7 @@
 	return time.Duration(user+system) * time.Second / clockTicksPerSecond
 }
 
-// memory returns the resident memory of the process, now and at its peak, in KiB; 0 if it cannot be read.
+// memory returns the current and the peak resident memory of the process in KiB, or 0 if it cannot be read.
 func (c *child) memory() (current, peak int) {
 	text, err := os.ReadFile("/proc/" + strconv.Itoa(c.cmd.Process.Pid) + "/status")
 	if err != nil {
@@ -154,7 +155,7 @@
 	return current, peak
 }
 
-// tenant creates a tenant and a session of it.
+// tenant creates a tenant and opens a session for it.
 func (c *child) tenant(ctx context.Context, name string, quota int) (*client.Session, error) {
 	return newTenantSession(ctx, c.admin, c.batch, name, quota)
 }
--- a/cmd/ospreybend/cli.go
+++ b/cmd/ospreybend/cli.go
@@ -17,24 +17,24 @@
 	"ospreybend/internal/node/nodeconfig"
 )
 
-// exitTrialNotRun is the exit code of a trial that could not run; one with a violation has 1.
+// exitTrialNotRun is the exit code of a trial that could not run; a trial that found violations exits with 1.
 const exitTrialNotRun = 2
 
-// commandLine is the command line. Without a command the program serves, as the platform starts it. Names of commands
-// and flags come from the names of the fields.
+// commandLine is the command line as kong parses it; command and flag names are derived from field names. Without a
+// command the program runs "serve", which is how the platform starts it.
 type commandLine struct {
-	JSON bool `help:"Write JSON." env:"OSPREYBEND_JSON"`
+	JSON bool `help:"Write results as JSON." env:"OSPREYBEND_JSON"`
 
-	Serve   serveCmd    `cmd:"" default:"1" help:"Serve as a node (what a bare call does)."`
+	Serve   serveCmd    `cmd:"" default:"1" help:"Serve as a node (the default command)."`
 	Voter   voterCmd    `cmd:"" help:"Serve as one of the fleet's voters."`
 	Job     cli.Job     `cmd:"" help:"Submit, list, wait for and control batch jobs."`
 	Session cli.Session `cmd:"" help:"Create, open, close and destroy job sessions."`
-	Tenant  cli.Tenant  `cmd:"" help:"Manage tenants by the administration."`
+	Tenant  cli.Tenant  `cmd:"" help:"Manage tenants through the administration API."`
 	Store   cli.Store   `cmd:"" help:"List and settle undecided bookings."`
 	Config  configCmd   `cmd:"" help:"Check configuration files."`
-	Demo    demoCmd     `cmd:"" help:"Run a node with stand-ins on loopback and show some jobs."`
-	Conform conformCmd  `cmd:"" help:"Hold a server against the binding, clause by clause."`
-	Measure measureCmd  `cmd:"" help:"Measure a node among stand-ins on loopback."`
+	Demo    demoCmd     `cmd:"" help:"Run a node with fake workers on loopback and show how it handles requests and jobs."`
+	Conform conformCmd  `cmd:"" help:"Run the conformance suite of the DRMAA binding against a server."`
+	Measure measureCmd  `cmd:"" help:"Measure a node with fake workers on loopback."`
 	Version versionCmd  `cmd:"" help:"Show the version."`
 }
 
@@ -46,12 +46,12 @@
 		return cli.ExitError
 	}
 	slog.SetDefault(slog.New(log.Handler(stderr)))
-	var line commandLine
+	var commands commandLine
 	exited := -1
-	parser, err := kong.New(&line, kong.Name("ospreybend"), kong.Description("A load balancer for job preparation, with a batch front after DRMAA."),
+	parser, err := kong.New(&commands, kong.Name("ospreybend"), kong.Description("A load balancer for job preparation, with a batch API based on DRMAA."),
 		kong.UsageOnError(), kong.Writers(stdout, stderr), kong.Exit(func(code int) { exited = code }))
 	if err != nil {
-		panic(err) // commandLine is invalid
+		panic(err) // the tags of commandLine are invalid, which is a programming error
 	}
 	parsed, err := parser.Parse(args)
 	if exited >= 0 {
@@ -69,7 +69,7 @@
 			cancel()
 		}()
 	}
-	env := &cli.Env{Ctx: ctx, Out: stdout, Getenv: os.Getenv, JSON: line.JSON}
+	env := &cli.Env{Ctx: ctx, Out: stdout, Getenv: os.Getenv, JSON: commands.JSON}
 	err = parsed.Run(env, caught)
 	if err != nil {
 		fmt.Fprintln(stderr, "ospreybend:", err)
@@ -82,7 +82,7 @@
 
 // serveCmd serves as a node.
 type serveCmd struct {
-	CPUProfile string `help:"Write a profile of the processor's time into this file." type:"path" env:"OSPREYBEND_CPU_PROFILE"`
+	CPUProfile string `help:"Write a CPU profile to this file." type:"path" env:"OSPREYBEND_CPU_PROFILE"`
 }
 
 // Run serves until the process is signalled to shut down.
@@ -119,24 +119,24 @@
 
 // configCmd groups the commands for configuration files.
 type configCmd struct {
-	Check configCheck `cmd:"" help:"Read the files as a start would, and say what is wrong."`
+	Check configCheck `cmd:"" help:"Read the configuration files as at startup and report all errors."`
 }
 
-// configCheck reads the files that a start would read, or those that are named.
+// configCheck checks the configuration files that are read at startup, or those named by flags.
 type configCheck struct {
-	Node  string `help:"The node's file; else BALANCER_CONFIG names it." type:"path"`
-	Batch string `help:"The batch front's file; else OSPREYBEND_BATCH names it, or it is deploy/batch.toml." type:"path"`
-	Log   string `help:"The log's file; else OSPREYBEND_LOG names it, or it is deploy/log.toml." type:"path"`
-	Fleet string `help:"The fleet's file; else OSPREYBEND_FLEET names it, or it is deploy/fleet.toml." type:"path"`
+	Node  string `help:"Configuration file of the node (default: the file named by BALANCER_CONFIG)." type:"path"`
+	Batch string `help:"Configuration file of the batch API (default: the file named by OSPREYBEND_BATCH, else deploy/batch.toml)." type:"path"`
+	Log   string `help:"Configuration file of the log (default: the file named by OSPREYBEND_LOG, else deploy/log.toml)." type:"path"`
+	Fleet string `help:"Configuration file of the fleet (default: the file named by OSPREYBEND_FLEET, else deploy/fleet.toml)." type:"path"`
 }
 
-// checkResult is the outcome of a check without errors.
+// checkResult is the result of a check that found no errors.
 type checkResult struct {
 	Batch   bool     `json:"batch"` // whether the batch API is enabled
 	Checked []string `json:"checked"`
 }
 
-// Run reads the files as a start would and returns all errors.
+// Run reads the files as at startup and returns all errors joined.
 func (c *configCheck) Run(env *cli.Env) error {
 	getenv := func(key string) string {
 		if v := map[string]string{"BALANCER_CONFIG": c.Node, "OSPREYBEND_BATCH": c.Batch, "OSPREYBEND_LOG": c.Log,
@@ -172,6 +172,6 @@
 		return errors.Join(errs...)
 	}
 	return env.Show(checkResult{Batch: batch.Enabled, Checked: checked}, func(w io.Writer) {
-		fmt.Fprintf(w, "well: %v; the batch front is %s\n", checked, map[bool]string{true: "on", false: "off"}[batch.Enabled])
+		fmt.Fprintf(w, "valid: %v; the batch API is %s\n", checked, map[bool]string{true: "on", false: "off"}[batch.Enabled])
 	})
 }
--- a/cmd/ospreybend/cli_test.go
+++ b/cmd/ospreybend/cli_test.go
@@ -17,7 +17,7 @@
 	"ospreybend/internal/testkit/fakeplatform"
 )
 
-// newTestNode starts a node with its batch API among fake workers that follow a script.
+// newTestNode starts a node with its batch API and two fake workers that follow a script.
 func newTestNode(t *testing.T, script fakeplatform.Script) *localNode {
 	t.Helper()
 	fleet, err := fakeplatform.NewFleet(demoZone, demoKind, 2, 4, script)
@@ -25,49 +25,50 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(fleet.Stop)
-	r, err := newLocalNode(t.TempDir(), fleet)
+	node, err := newLocalNode(t.TempDir(), fleet)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(r.shutdown)
-	if err := r.ready(t.Context()); err != nil {
+	t.Cleanup(node.shutdown)
+	if err := node.ready(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	return r
+	return node
 }
 
 // The program's own server passes every case of the conformance suite.
 func TestBatch_conforms(t *testing.T) {
-	r := newTestNode(t, fakeplatform.For(5*time.Millisecond))
-	tenant, err := r.admin.Create(t.Context(), "conform", 30_000)
+	node := newTestNode(t, fakeplatform.For(5*time.Millisecond))
+	tenant, err := node.admin.Create(t.Context(), "conform", 30_000)
 	if err != nil {
 		t.Fatal(err)
 	}
-	report, err := conformance.Run(t.Context(), conformance.Config{URL: "http://" + r.batch.Listen, Token: tenant.Token}, func(got conformance.Result) {
-		if !got.Passed {
-			t.Errorf("%s: %s (%s)", got.Name, got.Fault, got.Demand)
+	report, err := conformance.Run(t.Context(), conformance.Config{URL: "http://" + node.batch.Listen, Token: tenant.Token}, func(result conformance.Result) {
+		if !result.Passed {
+			t.Errorf("case %s failed: %s; required: %s", result.Name, result.Fault, result.Demand)
 		}
 	})
 	if err != nil || report.Passed != conformance.Cases() {
-		t.Errorf("%d of %d cases passed, %v", report.Passed, conformance.Cases(), err)
+		t.Errorf("%d of %d conformance cases passed, error %v", report.Passed, conformance.Cases(), err)
 	}
 }
 
-// call runs the program with these arguments and environment variables.
-func call(t *testing.T, env map[string]string, args ...string) (code int, out, complaint string) {
+// runProgram runs the program in this process with the given arguments and environment variables.
+func runProgram(t *testing.T, env map[string]string, args ...string) (code int, stdout, stderr string) {
 	t.Helper()
 	for k, v := range env {
 		t.Setenv(k, v)
 	}
-	// The node of the test logs to the same place from its own goroutines.
+	// runCommand replaces the default logger. The test's node logs through it from its own goroutines, so the buffers
+	// must be safe for concurrent use.
 	old := slog.Default()
 	defer slog.SetDefault(old)
-	var o, c syncBuffer
-	code = runCommand(signals{shutdown: make(chan os.Signal)}, args, &o, &c)
-	return code, o.text(), c.text()
+	var outBuffer, errBuffer syncBuffer
+	code = runCommand(signals{shutdown: make(chan os.Signal)}, args, &outBuffer, &errBuffer)
+	return code, outBuffer.text(), errBuffer.text()
 }
 
-// syncBuffer is a buffer that several goroutines write to.
+// syncBuffer is a buffer that is safe for concurrent use.
 type syncBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
@@ -81,70 +82,70 @@
 func (s *syncBuffer) text() string { s.mu.Lock(); defer s.mu.Unlock(); return s.buf.String() }
 
 func TestCommandLine_exitCodes(t *testing.T) {
-	r := newTestNode(t, func(j fakeplatform.Job) fakeplatform.Act {
+	node := newTestNode(t, func(j fakeplatform.Job) fakeplatform.Act {
 		if strings.HasSuffix(j.Path, "/bad") {
 			return fakeplatform.Act{Kind: fakeplatform.Reject}
 		}
 		return fakeplatform.Act{Run: time.Millisecond}
 	})
 	token := filepath.Join(t.TempDir(), "token")
-	env := map[string]string{"OSPREYBEND_URL": "http://" + r.batch.Listen, "OSPREYBEND_ADMIN_URL": "http://" + r.batch.AdminListen,
+	env := map[string]string{"OSPREYBEND_URL": "http://" + node.batch.Listen, "OSPREYBEND_ADMIN_URL": "http://" + node.batch.AdminListen,
 		"OSPREYBEND_ADMIN_TOKEN": demoAdminToken, "OSPREYBEND_TOKEN_FILE": token}
-	do := func(want int, args ...string) string {
+	run := func(want int, args ...string) string {
 		t.Helper()
-		code, out, complaint := call(t, env, args...)
+		code, stdout, stderr := runProgram(t, env, args...)
 		if code != want {
-			t.Fatalf("%v: code %d, not %d: %s%s", args, code, want, out, complaint)
+			t.Fatalf("%v: exit code %d, want %d; output: %s%s", args, code, want, stdout, stderr)
 		}
-		return strings.TrimSpace(out)
+		return strings.TrimSpace(stdout)
 	}
-	do(cli.ExitError, "job", "list") // no token yet
-	var made []struct{ Token string }
-	if err := json.Unmarshal([]byte(do(cli.ExitOK, "--json", "tenant", "create", "anna", "--quota", "50")), &made); err != nil {
+	run(cli.ExitError, "job", "list") // no token yet
+	var tenants []struct{ Token string }
+	if err := json.Unmarshal([]byte(run(cli.ExitOK, "--json", "tenant", "create", "anna", "--quota", "50")), &tenants); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(token, []byte(made[0].Token+"\n"), 0o600); err != nil {
+	if err := os.WriteFile(token, []byte(tenants[0].Token+"\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	do(cli.ExitUnknown, "job", "list") // no session yet
-	do(cli.ExitOK, "session", "create", "default")
-	do(cli.ExitUnknown, "session", "create", "default")
-	id := do(cli.ExitOK, "job", "submit", "vorschau", "--hold", "--name", "n1")
-	do(cli.ExitState, "job", "hold", id)
-	do(cli.ExitTimeout, "job", "wait", id, "--timeout", "50ms")
-	if out := do(cli.ExitOK, "job", "list"); !strings.Contains(out, "QUEUED_HELD") || !strings.Contains(out, "n1") {
-		t.Error(out)
-	}
-	do(cli.ExitOK, "job", "release", id)
-	if out := do(cli.ExitOK, "job", "wait", id); !strings.Contains(out, "DONE") {
-		t.Error(out)
-	}
-	do(cli.ExitOK, "job", "reap", id)
-	do(cli.ExitUnknown, "job", "info", id)
-	if out := do(cli.ExitFailed, "job", "submit", "vorschau", "bad", "--wait"); !strings.Contains(out, "can make nothing") {
-		t.Error(out)
-	}
-	do(cli.ExitUnknown, "job", "submit", "rm")
-	do(cli.ExitUsage, "job", "submit")
-	array := do(cli.ExitOK, "job", "bulk", "vorschau", "--end", "4", "--hold")
-	if out := do(cli.ExitOK, "job", "release", "-a", array); !strings.Contains(out, "4 jobs") {
-		t.Error(out)
-	}
-	if out := do(cli.ExitOK, "job", "wait", "-a", array); !strings.Contains(out, "DONE") {
-		t.Error(out)
-	}
-	if out := do(cli.ExitOK, "job", "queues"); !strings.Contains(out, "auftrag-buchen") || !strings.Contains(out, "w-2") {
-		t.Error(out)
-	}
-	if out := do(cli.ExitOK, "tenant", "queue"); !strings.Contains(out, "window") {
-		t.Error(out)
-	}
-	do(cli.ExitOK, "tenant", "quota", "anna", "0")
-	do(cli.ExitLater, "job", "submit", "vorschau")
-	do(cli.ExitOK, "tenant", "rotate", "anna")
-	do(cli.ExitDenied, "job", "list")
-	do(cli.ExitOK, "version")
-	do(cli.ExitOK, "--help")
+	run(cli.ExitUnknown, "job", "list") // no session yet
+	run(cli.ExitOK, "session", "create", "default")
+	run(cli.ExitUnknown, "session", "create", "default")
+	id := run(cli.ExitOK, "job", "submit", "vorschau", "--hold", "--name", "n1")
+	run(cli.ExitState, "job", "hold", id)
+	run(cli.ExitTimeout, "job", "wait", id, "--timeout", "50ms")
+	if out := run(cli.ExitOK, "job", "list"); !strings.Contains(out, "QUEUED_HELD") || !strings.Contains(out, "n1") {
+		t.Errorf("job list with the held job n1: got %q, want QUEUED_HELD and n1", out)
+	}
+	run(cli.ExitOK, "job", "release", id)
+	if out := run(cli.ExitOK, "job", "wait", id); !strings.Contains(out, "DONE") {
+		t.Errorf("job wait after release: got %q, want DONE", out)
+	}
+	run(cli.ExitOK, "job", "reap", id)
+	run(cli.ExitUnknown, "job", "info", id)
+	if out := run(cli.ExitFailed, "job", "submit", "vorschau", "bad", "--wait"); !strings.Contains(out, "can make nothing") {
+		t.Errorf("job submit --wait of a rejected job: got %q, want the worker's message", out)
+	}
+	run(cli.ExitUnknown, "job", "submit", "rm")
+	run(cli.ExitUsage, "job", "submit")
+	array := run(cli.ExitOK, "job", "bulk", "vorschau", "--end", "4", "--hold")
+	if out := run(cli.ExitOK, "job", "release", "-a", array); !strings.Contains(out, "4 jobs") {
+		t.Errorf("job release of an array of 4: got %q, want \"4 jobs\"", out)
+	}
+	if out := run(cli.ExitOK, "job", "wait", "-a", array); !strings.Contains(out, "DONE") {
+		t.Errorf("job wait on the released array: got %q, want DONE", out)
+	}
+	if out := run(cli.ExitOK, "job", "queues"); !strings.Contains(out, "auftrag-buchen") || !strings.Contains(out, "w-2") {
+		t.Errorf("job queues: got %q, want class auftrag-buchen and worker w-2", out)
+	}
+	if out := run(cli.ExitOK, "tenant", "queue"); !strings.Contains(out, "window") {
+		t.Errorf("tenant queue: got %q, want a line on the window", out)
+	}
+	run(cli.ExitOK, "tenant", "quota", "anna", "0")
+	run(cli.ExitLater, "job", "submit", "vorschau")
+	run(cli.ExitOK, "tenant", "rotate", "anna")
+	run(cli.ExitDenied, "job", "list")
+	run(cli.ExitOK, "version")
+	run(cli.ExitOK, "--help")
 }
 
 func TestConfigCheck(t *testing.T) {
@@ -157,14 +158,14 @@
 		return path
 	}
 	good := write("good.toml", "enabled = true\nlisten = \"127.0.0.1:1\"\nstore = \"sqlite\"\nsource = \"x\"\n")
-	if code, out, complaint := call(t, nil, "config", "check", "--batch", good, "--node", "../../examples/config.json"); code != 0 || !strings.Contains(out, "on") {
-		t.Errorf("%d %s%s", code, out, complaint)
+	if code, stdout, stderr := runProgram(t, nil, "config", "check", "--batch", good, "--node", "../../examples/config.json"); code != 0 || !strings.Contains(stdout, "on") {
+		t.Errorf("config check of valid files: exit code %d, output %s%s; want 0 and the batch API on", code, stdout, stderr)
 	}
 	for _, c := range [][3]string{{"--batch", "enabled = true\nlisten = \"127.0.0.1:1\"\nstore = \"sqlite\"\nsource = \"x\"\ntarget_ms = 0", "target_ms"},
 		{"--batch", "colour = 1", "colour"}, {"--log", "level = \"loud\"", "level"}, {"--log", "format = \"xml\"", "format"}, {"--node", "{", "JSON"}} {
-		code, _, complaint := call(t, nil, "config", "check", c[0], write("bad", c[1]))
-		if code != cli.ExitError || !strings.Contains(complaint, c[2]) {
-			t.Errorf("%v: %d %s", c, code, complaint)
+		code, _, stderr := runProgram(t, nil, "config", "check", c[0], write("bad", c[1]))
+		if code != cli.ExitError || !strings.Contains(stderr, c[2]) {
+			t.Errorf("config check %s with %q: exit code %d, stderr %q; want %d and an error that names %q", c[0], c[1], code, stderr, cli.ExitError, c[2])
 		}
 	}
 }
@@ -172,46 +173,46 @@
 // The demonstration runs to its end and removes its files.
 func TestDemo(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
-	code, out, complaint := call(t, nil, "demo")
-	if code != 0 || strings.Count(out, "DONE") < 10 || !strings.Contains(out, "has left") {
-		t.Errorf("%d %s%s", code, out, complaint)
+	code, stdout, stderr := runProgram(t, nil, "demo")
+	if code != 0 || strings.Count(stdout, "DONE") < 10 || !strings.Contains(stdout, "has shut down") {
+		t.Errorf("demo: exit code %d, output %s%s; want 0, 10 DONE jobs and the final shutdown line", code, stdout, stderr)
 	}
 	left, err := os.ReadDir(os.Getenv("TMPDIR"))
 	if err != nil || len(left) != 0 {
-		t.Errorf("files not removed: %v, %v", left, err)
+		t.Errorf("files left in TMPDIR after the demo: %v, error %v; want none", left, err)
 	}
 }
 
-// A reload applies the window and the administration's token. An invalid file changes nothing.
-func TestBatchFront_reload(t *testing.T) {
-	r := newTestNode(t, fakeplatform.For(time.Millisecond))
+// A reload applies a changed window size and administration token. An invalid file changes nothing.
+func TestBatchAPI_reload(t *testing.T) {
+	node := newTestNode(t, fakeplatform.For(time.Millisecond))
 	path := filepath.Join(t.TempDir(), "batch.toml")
 	env := func(key string) string { return map[string]string{"OSPREYBEND_BATCH": path}[key] }
-	write := func(rest string) {
+	write := func(extra string) {
 		t.Helper()
-		text := "enabled = true\nlisten = \"" + r.batch.Listen + "\"\nstore = \"sqlite\"\nsource = \"" + r.batch.Source + "\"\nadmin_listen = \"" +
-			r.batch.AdminListen + "\"\n" + rest
+		text := "enabled = true\nlisten = \"" + node.batch.Listen + "\"\nstore = \"sqlite\"\nsource = \"" + node.batch.Source + "\"\nadmin_listen = \"" +
+			node.batch.AdminListen + "\"\n" + extra
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		r.node.batch.reload(r.node, env)
+		node.node.batch.reload(node.node, env)
 	}
-	size := func() (out float64) {
-		r.node.loop.Call(func() { out = r.node.batch.jobs.Counts().Window.Size })
+	windowSize := func() (out float64) {
+		node.node.loop.Call(func() { out = node.node.batch.jobs.Counts().Window.Size })
 		return out
 	}
-	admits := func() bool { _, err := r.admin.Tenants(context.Background()); return err == nil }
-	other := strings.Repeat("ab", 32)
-	write("slots = 1\nadmin_token_sha256 = \"" + other + "\"\n")
-	if size() != 1 || admits() {
-		t.Errorf("window %v, the old token is accepted: %v", size(), admits())
+	tokenAccepted := func() bool { _, err := node.admin.Tenants(context.Background()); return err == nil }
+	otherHash := strings.Repeat("ab", 32)
+	write("slots = 1\nadmin_token_sha256 = \"" + otherHash + "\"\n")
+	if windowSize() != 1 || tokenAccepted() {
+		t.Errorf("after a reload with slots = 1 and another token: window %v, want 1; old token accepted: %v, want false", windowSize(), tokenAccepted())
 	}
-	write("slots = -1\nadmin_token_sha256 = \"" + r.batch.AdminTokenSHA256 + "\"\n")
-	if size() != 1 || admits() {
-		t.Error("an invalid file took effect")
+	write("slots = -1\nadmin_token_sha256 = \"" + node.batch.AdminTokenSHA256 + "\"\n")
+	if windowSize() != 1 || tokenAccepted() {
+		t.Errorf("after a reload of an invalid file: window %v, want 1; its token accepted: %v, want false", windowSize(), tokenAccepted())
 	}
-	write("slots = 9\nadmin_token_sha256 = \"" + r.batch.AdminTokenSHA256 + "\"\n")
-	if !admits() {
-		t.Error("the token is not accepted again")
+	write("slots = 9\nadmin_token_sha256 = \"" + node.batch.AdminTokenSHA256 + "\"\n")
+	if !tokenAccepted() {
+		t.Error("after a reload with the original token it is still refused")
 	}
 }
--- a/cmd/ospreybend/compatibility_test.go
+++ b/cmd/ospreybend/compatibility_test.go
@@ -10,10 +10,10 @@
 	"ospreybend/internal/testkit/golden"
 )
 
-// laterCommands are those that version 8782861 did not have. All that it had must stay as it was.
+// laterCommands are the commands added since version 8782861. All commands of that version must stay unchanged.
 var laterCommands = map[string]bool{"ospreybend measure shutdown": true}
 
-// describe writes the commands below a node of the command line, one a line, each with its arguments and flags.
+// describe writes a command with its arguments and flags, one per line, and then its subcommands in the same way.
 func describe(out *bytes.Buffer, path string, node *kong.Node) {
 	fmt.Fprintf(out, "%s\n", path)
 	for _, argument := range node.Positional {
@@ -30,7 +30,8 @@
 	}
 }
 
-// compatibilityRows are the names that the command line has. Most of them come from names of Go fields.
+// compatibilityRows returns the names on the command line. Most of them are derived from Go field names, so renaming a
+// field would change them.
 func compatibilityRows() []golden.Row {
 	return []golden.Row{{
 		Name: "command-line.txt",
--- a/cmd/ospreybend/conform.go
+++ b/cmd/ospreybend/conform.go
@@ -9,14 +9,14 @@
 	"ospreybend/internal/testkit/conformance"
 )
 
-// conformCmd checks a server against the clauses of the DRMAA binding.
+// conformCmd runs the conformance suite of the DRMAA binding against a server.
 type conformCmd struct {
 	cli.Server `embed:""`
-	Only       string        `help:"Only cases whose name contains this."`
-	Within     time.Duration `help:"The longest that a case may take." default:"30s"`
+	Only       string        `help:"Run only cases whose name contains this text."`
+	Within     time.Duration `help:"Time limit of each case." default:"30s"`
 }
 
-// Run runs the suite and fails if a case failed.
+// Run runs the suite and returns an error if any case failed.
 func (c *conformCmd) Run(env *cli.Env) error {
 	token, err := env.Token(c.TokenFile, "OSPREYBEND_TOKEN")
 	if err != nil {
@@ -26,11 +26,11 @@
 		if env.JSON {
 			return
 		}
-		mark := "passed"
+		status := "passed"
 		if !r.Passed {
-			mark = "FAILED"
+			status = "FAILED"
 		}
-		fmt.Fprintf(env.Out, "%s  %-32s %8.1f ms  %s (%s)\n", mark, r.Name, r.Millis, r.Demand, r.Source)
+		fmt.Fprintf(env.Out, "%s  %-32s %8.1f ms  %s (%s)\n", status, r.Name, r.Millis, r.Demand, r.Source)
 		if !r.Passed {
 			fmt.Fprintf(env.Out, "        %s\n", r.Fault)
 		}
@@ -44,7 +44,7 @@
 		return err
 	}
 	if report.Failed > 0 {
-		return fmt.Errorf("%d cases failed", report.Failed)
+		return fmt.Errorf("%d of %d conformance cases failed", report.Failed, report.Passed+report.Failed)
 	}
 	return nil
 }
--- a/cmd/ospreybend/demo.go
+++ b/cmd/ospreybend/demo.go
@@ -23,22 +23,22 @@
 	demoReadyTimeout   = 10 * time.Second
 	demoTimeout        = time.Minute
 
-	lastEventsTime = 100 * time.Millisecond // for the last events of a session to arrive
+	lastEventsTime = 100 * time.Millisecond // time for the last events of a session to arrive
 	demoArrayJobs  = 8
 	demoJobs       = 4 + demoArrayJobs
 )
 
-// printLine prints one line of the demonstration.
-type printLine func(format string, args ...any)
+// printFunc prints one line of the demonstration's output.
+type printFunc func(format string, args ...any)
 
 // demoCmd demonstrates a node, its platform server and its batch API on loopback.
 type demoCmd struct {
-	Log bool `help:"Show the node's log too."`
+	Log bool `help:"Also show the node's log."`
 }
 
-// Run starts a node among fake workers and sends it requests and batch jobs.
+// Run starts a node with fake workers and sends it requests and batch jobs.
 func (c *demoCmd) Run(env *cli.Env) (err error) {
-	say := func(format string, args ...any) { fmt.Fprintf(env.Out, format+"\n", args...) }
+	printf := func(format string, args ...any) { fmt.Fprintf(env.Out, format+"\n", args...) }
 	if !c.Log {
 		logger := slog.Default()
 		slog.SetDefault(slog.New(slog.DiscardHandler))
@@ -60,21 +60,21 @@
 	if err != nil {
 		return err
 	}
-	defer func() { node.shutdown(); say("\nThe node has left; all that it took is answered.") }()
+	defer func() { node.shutdown(); printf("\nThe node has shut down; every accepted request was answered.") }()
 	if err := node.ready(ctx); err != nil {
 		return err
 	}
-	say("Three stand-in prep workers of two slots each, discovery, and a node:")
-	say("  platform front   http://%s", node.node.cfg.Listen)
-	say("  batch front      http://%s/drmaa/v2   (store: SQLite in a temporary folder)", node.batch.Listen)
-	say("  administration   http://%s/admin/v1\n", node.batch.AdminListen)
-	if err := demoPlatform(ctx, node, say); err != nil {
+	printf("Three fake prep workers with two slots each, a fake discovery service, and a node:")
+	printf("  platform server  http://%s", node.node.cfg.Listen)
+	printf("  batch API        http://%s/drmaa/v2   (store: SQLite in a temporary directory)", node.batch.Listen)
+	printf("  administration   http://%s/admin/v1\n", node.batch.AdminListen)
+	if err := demoPlatform(ctx, node, printf); err != nil {
 		return err
 	}
-	return demoBatch(ctx, node, env, say)
+	return demoBatch(ctx, node, env, printf)
 }
 
-// demoScript has the workers take a while for each job, and fail those whose path says so.
+// demoScript makes the workers take 200 ms for each job and fail jobs whose path ends in /fails.
 func demoScript(job fakeplatform.Job) fakeplatform.Act {
 	if strings.HasSuffix(job.Path, "/fails") {
 		return fakeplatform.Act{Kind: fakeplatform.Fail, Run: 100 * time.Millisecond}
@@ -82,9 +82,9 @@
 	return fakeplatform.Act{Run: 200 * time.Millisecond}
 }
 
-// demoPlatform sends a few requests as the platform's clients do.
-func demoPlatform(ctx context.Context, node *localNode, say printLine) error {
-	say("Through the platform front, three requests:")
+// demoPlatform sends one request of each class, as the platform's clients do.
+func demoPlatform(ctx context.Context, node *localNode, printf printFunc) error {
+	printf("Three requests to the platform server:")
 	for i, class := range []string{"modell-pruefen", "vorschau", "auftrag-buchen"} {
 		number := strconv.Itoa(i + 1)
 		request, err := http.NewRequestWithContext(ctx, "POST", "http://"+node.node.cfg.Listen+"/"+class+"/"+number, strings.NewReader("model"))
@@ -103,7 +103,7 @@
 		if err != nil {
 			return err
 		}
-		say("  %-16s %d in %3d ms: %s", class, response.StatusCode, time.Since(started).Milliseconds(), strings.TrimSpace(string(text)))
+		printf("  %-16s %d in %3d ms: %s", class, response.StatusCode, time.Since(started).Milliseconds(), strings.TrimSpace(string(text)))
 	}
 	return nil
 }
@@ -111,21 +111,21 @@
 // batchDemo is the batch part of the demonstration: one tenant's session and its jobs, all submitted on hold.
 type batchDemo struct {
 	session *client.Session
-	say     printLine
+	print   printFunc
 
 	booking, failing, onHold, toTerminate *drmaa.Job
 	array                                 *drmaa.Array
 }
 
-// demoBatch submits jobs as a batch client does, and prints what becomes of each.
-func demoBatch(ctx context.Context, node *localNode, env *cli.Env, say printLine) error {
+// demoBatch submits jobs as a batch client does, and prints their events and final states.
+func demoBatch(ctx context.Context, node *localNode, env *cli.Env, printf printFunc) error {
 	session, err := node.tenant(ctx, "workshop", 100)
 	if err != nil {
 		return err
 	}
-	say("\nThrough the batch front, as tenant 'workshop': a booking, one that fails, a held")
-	say("one, one to terminate, and an array of eight with two at once:")
-	demo := &batchDemo{session: session, say: say}
+	printf("\nJobs submitted to the batch API as tenant 'workshop': a booking, a job that fails, a job")
+	printf("on hold, a job to terminate, and an array of eight jobs that runs two at a time:")
+	demo := &batchDemo{session: session, print: printf}
 	if err := demo.submit(ctx); err != nil {
 		return err
 	}
@@ -139,15 +139,15 @@
 	}
 	time.Sleep(lastEventsTime)
 	stop()
-	say("\nWhat became of each, as the store of record has it:")
+	printf("\nFinal state of each job in the store of record:")
 	return demo.printJobs(ctx, env)
 }
 
 // submit submits all jobs on hold.
 func (d *batchDemo) submit(ctx context.Context) error {
 	for _, job := range []struct {
-		made     **drmaa.Job
-		template drmaa.JobTemplate
+		submitted **drmaa.Job
+		template  drmaa.JobTemplate
 	}{
 		{&d.booking, drmaa.JobTemplate{RemoteCommand: "auftrag-buchen", JobName: "booking", SubmitAsHold: true}},
 		{&d.failing, drmaa.JobTemplate{RemoteCommand: "modell-pruefen", JobName: "failing", Args: []string{"fails"}, SubmitAsHold: true}},
@@ -158,7 +158,7 @@
 		if err != nil {
 			return err
 		}
-		*job.made = made
+		*job.submitted = made
 	}
 	var err error
 	d.array, err = d.session.RunBulk(ctx, drmaa.Bulk{Begin: 1, End: demoArrayJobs, MaxParallel: 2, Template: &drmaa.JobTemplate{
@@ -172,10 +172,10 @@
 	return []*drmaa.Job{d.booking, d.failing, d.onHold, d.toTerminate}
 }
 
-// printEvents prints the session's events from a goroutine, and returns once it receives them. stop ends the goroutine;
-// it may be called again.
+// printEvents starts a goroutine that prints the session's events, and returns once the event stream is established.
+// stop ends the goroutine; it may be called more than once.
 func (d *batchDemo) printEvents(ctx context.Context) (stop func(), err error) {
-	watch, cancel := context.WithCancel(ctx)
+	watchCtx, cancel := context.WithCancel(ctx)
 	ended, listening := make(chan struct{}), make(chan struct{})
 	names := map[string]string{}
 	for _, job := range d.singleJobs() {
@@ -185,7 +185,7 @@
 	go func() {
 		defer close(ended)
 		first := true
-		for batch, err := range d.session.Events(watch, "oldest") {
+		for batch, err := range d.session.Events(watchCtx, "oldest") {
 			if err != nil {
 				return
 			}
@@ -199,7 +199,7 @@
 					name = "array " + strconv.Itoa(index)
 				}
 				if event.State != drmaa.QueuedHeld && event.Event == drmaa.NewState {
-					d.say("  %s  %-9s %-9s %s", event.Time[11:23], name, event.State, event.SubState)
+					d.print("  %s  %-9s %-9s %s", event.Time[11:23], name, event.State, event.SubState)
 				}
 			}
 		}
@@ -214,7 +214,8 @@
 	}
 }
 
-// runJobs releases or terminates each job and waits until all have ended. The one on hold is released last.
+// runJobs releases or terminates each job and waits until all have ended. The job onHold is released only after the
+// array has ended.
 func (d *batchDemo) runJobs(ctx context.Context) error {
 	for _, step := range []func() error{
 		func() error { return d.session.Act(ctx, d.booking.ID, "release") },
@@ -236,16 +237,16 @@
 	return nil
 }
 
-// jobRow is one job as the store of record has it.
+// jobRow is one job as recorded in the store of record.
 type jobRow struct {
 	Name    string `json:"name"`
 	ID      string `json:"jobId"`
 	State   string `json:"state"`
-	Outcome string `json:"told"` // the result, or the sub-state where there is none
+	Outcome string `json:"told"` // the result, or the sub-state if there is no result
 	Machine string `json:"machine"`
 }
 
-// printJobs prints all jobs of the session and fails if they are not those that were submitted.
+// printJobs prints all jobs of the session. It returns an error if jobs are missing or if not all of the array is done.
 func (d *batchDemo) printJobs(ctx context.Context, env *cli.Env) error {
 	var rows []jobRow
 	for job, err := range d.session.Jobs(ctx, drmaa.Filter{}) {
@@ -269,7 +270,7 @@
 		return err
 	}
 	if done := d.array.States[drmaa.Done]; len(rows) != demoJobs || done != demoArrayJobs {
-		return fmt.Errorf("%d jobs on record, %d of the array done", len(rows), done)
+		return fmt.Errorf("%d jobs in the store, want %d; %d jobs of the array done, want %d", len(rows), demoJobs, done, demoArrayJobs)
 	}
 	return nil
 }
--- a/cmd/ospreybend/descriptors_test.go
+++ b/cmd/ospreybend/descriptors_test.go
@@ -17,12 +17,13 @@
 	"ospreybend/internal/testkit/fakeplatform"
 )
 
-// Idle clients use up the descriptors of a node with a low limit while discovery is unavailable. A new client is still
-// served, and the endpoint list is applied in time when discovery is back: both need descriptors.
+// A node must not run out of file descriptors. Idle clients use up the descriptors of a node with a low limit
+// while discovery is unavailable. New clients must still be served, and once discovery is available again the endpoint
+// list must be applied in time: both need descriptors.
 func TestNode_idleClientsDuringDiscoveryOutage(t *testing.T) {
-	const sockets, idlers, known = 128, 200, 6 * time.Second
+	const sockets, idleClients, maxUpdateTime = 128, 200, 6 * time.Second
 	fleet, n := startChild(t, 2, 8, time.Millisecond)
-	if err := n.kill(); err != nil { // it is restarted with few descriptors and without its batch API
+	if err := n.kill(); err != nil { // restarted below with few descriptors and without the batch API
 		t.Fatal(err)
 	}
 	path := filepath.Join(n.dir, "node.json")
@@ -30,9 +31,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	few := strings.Replace(string(text), `"sockets":1024`, fmt.Sprintf(`"sockets":%d`, sockets), 1)
-	if err := os.WriteFile(path, []byte(few), 0o600); err != nil || few == string(text) {
-		t.Fatal("no limit to change", err)
+	limited := strings.Replace(string(text), `"sockets":1024`, fmt.Sprintf(`"sockets":%d`, sockets), 1)
+	if err := os.WriteFile(path, []byte(limited), 0o600); err != nil || limited == string(text) {
+		t.Fatalf("lower the sockets limit in %s: replaced %v, error %v", path, limited != string(text), err)
 	}
 	if err := os.WriteFile(filepath.Join(n.dir, "batch.toml"), []byte("enabled = false\n"), 0o600); err != nil {
 		t.Fatal(err)
@@ -45,41 +46,41 @@
 	if err := unix.Prlimit(n.cmd.Process.Pid, unix.RLIMIT_NOFILE, &limit, nil); err != nil {
 		t.Fatal(err)
 	}
-	address, asked := strings.TrimPrefix(n.platform, "http://"), 0
-	ask := func(c net.Conn) (status int, worker string) {
-		asked++
-		if _, err := fmt.Fprintf(c, "POST /modell-pruefen HTTP/1.1\r\nHost: a\r\nReq-Id: i%d\r\nReq-Deadline: 3\r\nContent-Length: 2\r\n\r\nhi", asked); err != nil {
+	address, requests := strings.TrimPrefix(n.platform, "http://"), 0
+	sendRequest := func(c net.Conn) (status int, worker string) {
+		requests++
+		if _, err := fmt.Fprintf(c, "POST /modell-pruefen HTTP/1.1\r\nHost: a\r\nReq-Id: i%d\r\nReq-Deadline: 3\r\nContent-Length: 2\r\n\r\nhi", requests); err != nil {
 			return 0, ""
 		}
-		answer, err := http.ReadResponse(bufio.NewReader(c), nil)
+		response, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if err != nil {
 			return 0, ""
 		}
-		_, _ = io.Copy(io.Discard, answer.Body)
+		_, _ = io.Copy(io.Discard, response.Body)
 		for _, w := range fleet.Workers {
-			if w.Begun()[fmt.Sprint("i", asked)] > 0 {
+			if w.Begun()[fmt.Sprint("i", requests)] > 0 {
 				worker = w.Name
 			}
 		}
-		return answer.StatusCode, worker
+		return response.StatusCode, worker
 	}
-	comes := func() (int, string) {
-		c, err := net.DialTimeout("tcp", address, known)
+	requestFromNewClient := func() (int, string) {
+		c, err := net.DialTimeout("tcp", address, maxUpdateTime)
 		if err != nil {
 			return 0, ""
 		}
 		defer c.Close()
-		return ask(c)
+		return sendRequest(c)
 	}
-	refused := func(times int) {
-		if err := fakeplatform.WaitUntil(t.Context(), 2*known, func() bool { return fleet.Discovery.Rejected() >= times }); err != nil {
-			t.Fatalf("%d calls for the list while it is down: %v", fleet.Discovery.Rejected(), err)
+	waitForRejections := func(times int) {
+		if err := fakeplatform.WaitUntil(t.Context(), 2*maxUpdateTime, func() bool { return fleet.Discovery.Rejected() >= times }); err != nil {
+			t.Fatalf("%d calls rejected by the unavailable discovery, want at least %d: %v", fleet.Discovery.Rejected(), times, err)
 		}
 	}
 	fleet.Discovery.SetUnavailable(true)
-	refused(1) // the watch has ended, and with it its connection
-	for range idlers {
-		c, err := net.DialTimeout("tcp", address, known)
+	waitForRejections(1) // the watch has ended and its connection is closed
+	for range idleClients {
+		c, err := net.DialTimeout("tcp", address, maxUpdateTime)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -88,31 +89,31 @@
 			t.Fatal(err)
 		}
 		if _, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil {
-			t.Fatal("an idle client got no answer: ", err)
+			t.Fatal("health check of an idle client got no response: ", err)
 		}
 	}
 	for range 20 {
-		if status, _ := comes(); status != http.StatusOK {
-			t.Fatalf("a client among idle ones got %d", status)
+		if status, _ := requestFromNewClient(); status != http.StatusOK {
+			t.Fatalf("request of a new client besides %d idle clients: status %d, want 200", idleClients, status)
 		}
 	}
-	refused(fleet.Discovery.Rejected() + 2) // it finds a descriptor for its calls among those of the idle clients
+	waitForRejections(fleet.Discovery.Rejected() + 2) // discovery calls still get descriptors, taken from idle clients
 	fleet.Drain(fleet.Workers[0], true)
 	fleet.Discovery.SetUnavailable(false)
-	back, other := time.Now(), 0
-	for other < 30 {
-		status, worker := comes()
+	availableSince, elsewhere := time.Now(), 0
+	for elsewhere < 30 {
+		status, worker := requestFromNewClient()
 		if status != http.StatusOK {
-			t.Fatalf("a client got %d after the return", status)
+			t.Fatalf("request after discovery became available again: status %d, want 200", status)
 		}
-		if other++; worker == fleet.Workers[0].Name {
-			other = 0
-			if time.Since(back) > known {
-				t.Fatalf("%v after the return a draining worker still gets requests", time.Since(back))
+		if elsewhere++; worker == fleet.Workers[0].Name {
+			elsewhere = 0
+			if time.Since(availableSince) > maxUpdateTime {
+				t.Fatalf("a draining worker got a request %v after discovery became available again, want at most %v", time.Since(availableSince), maxUpdateTime)
 			}
 		}
 	}
 	if open, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", n.cmd.Process.Pid)); err != nil || len(open) > sockets {
-		t.Errorf("%d descriptors, %v", len(open), err)
+		t.Errorf("%d open descriptors, want at most %d (error %v)", len(open), sockets, err)
 	}
 }
--- a/cmd/ospreybend/fleet.go
+++ b/cmd/ospreybend/fleet.go
@@ -16,10 +16,10 @@
 	"ospreybend/internal/node/zones/transport"
 )
 
-// overrideTimeout limits how long the voters are asked to commit a manual override.
+// overrideTimeout limits the calls that ask the voters to commit a manual override, all together.
 const overrideTimeout = 3 * time.Second
 
-// joinFleet starts the agent that reports what the node observes to the voters and applies the fleet's commands.
+// joinFleet starts the agent that reports the node's observations to the voters and applies the fleet's commands.
 func (n *node) joinFleet(fleet nodeconfig.Fleet) {
 	cfg := n.cfg
 	n.voterClient = transport.NewClient()
@@ -41,8 +41,8 @@
 	slog.Info("joined the fleet", "name", fleet.Fleet, "zone", fleet.Zone, "voters", len(fleet.Voters))
 }
 
-// overrideZone sends an operator's override of a zone to one voter after the other until one reports it committed. done
-// is called on the loop.
+// overrideZone sends an operator's manual override of a zone to the voters in turn until one reports that it is
+// committed. done is called on the event loop.
 func (n *node) overrideZone(zone, action, reason string, duration time.Duration, done func(error)) {
 	manual := commands.Override{Zone: zone, Action: action, Reason: reason, Until: time.Now().Add(duration).UnixMicro()}
 	voters := n.voters
@@ -62,7 +62,7 @@
 	}()
 }
 
-// fleetStatus returns the text of the fleet's state that the administration server shows.
+// fleetStatus returns the fleet's state as text for the administration server.
 func (n *node) fleetStatus() []byte {
 	state := n.agent.Follower()
 	text := fmt.Appendf(nil, "epoch %d, led %v, older orders refused %d, leases gained or lost %d\n", state.Epoch(),
--- a/cmd/ospreybend/hot_restart.go
+++ b/cmd/ospreybend/hot_restart.go
@@ -11,11 +11,11 @@
 	"ospreybend/internal/node/protocol"
 )
 
-// handOverInterval is how often what could not be handed over yet is tried again.
+// handOverInterval is the interval at which connections that could not be handed over yet are tried again.
 const handOverInterval = 10 * time.Millisecond
 
-// joinDirectory joins the directory that the processes of this node share, and returns how many others there are.
-// Without a directory the process serves alone.
+// joinDirectory joins the directory shared by the processes of this node and returns the number of other processes.
+// If the directory cannot be used, the process serves without it: overrides are kept in memory and nothing is handed over.
 func (n *node) joinDirectory() (others int) {
 	directory, err := hotrestart.Open(n.cfg.TmpDir, n.cfg.Name)
 	if err != nil {
@@ -25,14 +25,14 @@
 	n.directory = directory
 	recorded, err := directory.Overrides()
 	if err != nil {
-		slog.Warn("overrides cannot be read", "error", err)
+		slog.Warn("recorded overrides cannot be read", "error", err)
 	}
 	n.overrides.Merge(recorded)
 	return directory.OtherProcesses()
 }
 
-// directoryChanged applies a change of the directory: overrides and the number of other processes. It may run off the
-// loop.
+// directoryChanged applies a change in the directory: overrides and the number of other processes. It may be called from
+// any goroutine.
 func (n *node) directoryChanged(recorded override.Overrides, others int) {
 	n.loop.Post(func() {
 		n.admin.Merge(recorded)
@@ -40,8 +40,8 @@
 	})
 }
 
-// divideBudgets limits this process to its part of the node's memory, sockets and connections: the running processes
-// have equal parts.
+// divideBudgets limits this process to its share of the node's memory, sockets and connections. All running processes of
+// the node have equal shares.
 func (n *node) divideBudgets(others int) {
 	processes := others + 1
 	cfg := n.cfg
@@ -51,8 +51,8 @@
 	slog.Info("budgets", "processes", processes)
 }
 
-// acceptOnceReady accepts clients when discovery has answered and some worker is ready, or by the deadline with the
-// cached endpoint list.
+// acceptOnceReady accepts clients once discovery has answered and a worker is ready, or at the deadline with the cached
+// endpoint list.
 func (n *node) acceptOnceReady(deadline time.Duration) {
 	if n.shuttingDown {
 		return
@@ -86,7 +86,7 @@
 	n.admin = protocol.NewAdmin(config, n.loop, n.core, n.discovery, n.destinations, n.overrides)
 }
 
-// leaveDirectory leaves the shared directory, which frees this process's part of the budgets.
+// leaveDirectory leaves the shared directory, so that the other processes get this one's share of the budgets.
 func (n *node) leaveDirectory() {
 	close(n.stop)
 	if n.directory != nil {
@@ -94,7 +94,7 @@
 	}
 }
 
-// receiveHandovers lets the predecessor hand over its connections and the requests in flight on them.
+// receiveHandovers starts to accept connections, with their requests in flight, from the predecessor process.
 func (n *node) receiveHandovers() {
 	stop, err := n.directory.Receive(n.adoptHandover)
 	if err != nil {
@@ -104,8 +104,8 @@
 	n.stopReceiving = stop
 }
 
-// adoptHandover takes over one client's connection with the requests in flight on it, or the module's learned state. It
-// runs off the loop.
+// adoptHandover takes over one client connection with the requests in flight on it, or the decision module's learned
+// state. It must not be called on the event loop.
 func (n *node) adoptHandover(message hotrestart.Message) {
 	handover, err := protocol.DecodeHandover(message.Text, len(message.Sockets))
 	if err != nil {
@@ -125,7 +125,7 @@
 	n.loop.Post(func() { n.front.Adopt(n.destinations, handover, conns) })
 }
 
-// successor returns the process that takes over this one's connections, or nil if there is none.
+// successor returns the process that takes over this process's connections, or nil if there is none.
 func (n *node) successor() *hotrestart.Successor {
 	if n.inherited == nil || n.directory == nil {
 		return nil
@@ -133,7 +133,8 @@
 	return n.directory.Successor()
 }
 
-// collectHandovers moves what can be handed over out of the front into the pending messages.
+// collectHandovers moves all connections that can be handed over now from the front into the pending messages, along
+// with the learned state the first time.
 func (n *node) collectHandovers(successor *hotrestart.Successor) {
 	if successor == nil {
 		return
@@ -145,20 +146,21 @@
 	n.front.HandOver(n.destinations, n.pending.add)
 }
 
-// add appends a message and the sockets that go with it.
+// add appends a message and the sockets that belong to it.
 func (p *pendingHandovers) add(message *protocol.Handover, sockets []*os.File) {
 	p.messages, p.sockets = append(p.messages, message), append(p.sockets, sockets)
 }
 
-// take returns the pending messages and their sockets, and leaves none.
+// take removes and returns the pending messages and their sockets.
 func (p *pendingHandovers) take() (messages []*protocol.Handover, sockets [][]*os.File) {
 	messages, sockets = p.messages, p.sockets
 	p.messages, p.sockets = nil, nil
 	return messages, sockets
 }
 
-// handOver sends the successor what has been collected, and what can be moved only later, until nothing is left here or
-// the deadline has passed. What the successor does not take is served to its end by this process. It runs off the loop.
+// handOver sends the collected connections to the successor, and further ones as they become movable, until none is left
+// or the deadline has passed. Connections that the successor does not accept are served to their end by this process. It
+// must not be called on the event loop.
 func (n *node) handOver(successor *hotrestart.Successor, drained <-chan struct{}, deadline time.Time) {
 	defer successor.Close()
 	moved := 0
@@ -185,8 +187,8 @@
 	}
 }
 
-// sendHandover sends one message to the successor and reports whether it was taken; if not, this process adopts the
-// connection again.
+// sendHandover sends one message to the successor and reports whether it was accepted. If it was not, this process adopts
+// the connection again.
 func (n *node) sendHandover(successor *hotrestart.Successor, handover *protocol.Handover, sockets []*os.File) bool {
 	text, err := handover.Encode()
 	message := hotrestart.Message{Text: text, Sockets: sockets}
--- a/cmd/ospreybend/local_node.go
+++ b/cmd/ospreybend/local_node.go
@@ -19,7 +19,7 @@
 // demoAddresses are the loopback addresses of a node for demonstrations and measurements.
 type demoAddresses struct{ platform, batch, admin string }
 
-// newDemoAddresses returns addresses at which nothing listens.
+// newDemoAddresses returns addresses on which nothing listens yet.
 func newDemoAddresses() (addresses demoAddresses, err error) {
 	for _, address := range []*string{&addresses.platform, &addresses.batch, &addresses.admin} {
 		if *address, err = fakeplatform.FreeAddress(); err != nil {
@@ -41,14 +41,14 @@
 	}.Config()
 }
 
-// demoBatchConfig returns the file of the batch API that goes with it. Its store is in dir.
+// demoBatchConfig returns the batch API's configuration file that goes with demoConfig. Its store is in dir.
 func demoBatchConfig(addresses demoAddresses, dir string) string {
 	sum := sha256.Sum256([]byte(demoAdminToken))
 	return fmt.Sprintf("enabled = true\nlisten = %q\nstore = \"sqlite\"\nsource = %q\nadmin_listen = %q\nadmin_token_sha256 = %q\n",
 		addresses.batch, filepath.Join(dir, "batch.db"), addresses.admin, hex.EncodeToString(sum[:]))
 }
 
-// platformClasses returns the load of the platform's clients in measurements.
+// platformClasses returns the request classes of the platform's clients in measurements.
 func platformClasses() []loadgen.Class {
 	return []loadgen.Class{
 		{Name: "modell-pruefen", Share: 0.8, Target: 400 * time.Millisecond, Within: 5 * time.Second},
@@ -56,7 +56,7 @@
 	}
 }
 
-// localNode is a node with its batch API among fake workers, in this process.
+// localNode is a node with its batch API and fake workers that runs in this process.
 type localNode struct {
 	fleet        *fakeplatform.Fleet
 	node         *node
@@ -65,7 +65,7 @@
 	shutdownOnce sync.Once
 }
 
-// shutdown shuts the node down, once.
+// shutdown shuts the node down. Further calls do nothing.
 func (l *localNode) shutdown() { l.shutdownOnce.Do(l.node.shutdown) }
 
 // newLocalNode starts a node whose store is in dir.
@@ -103,12 +103,12 @@
 	return local, nil
 }
 
-// tenant creates a tenant and a session of it.
+// tenant creates a tenant and opens a session for it.
 func (l *localNode) tenant(ctx context.Context, name string, quota int) (*client.Session, error) {
 	return newTenantSession(ctx, l.admin, "http://"+l.batch.Listen, name, quota)
 }
 
-// newTenantSession creates a tenant with a quota of unfinished jobs, and a session of it at the batch API.
+// newTenantSession creates a tenant with a quota of unfinished jobs and opens a session for it at the batch API.
 func newTenantSession(ctx context.Context, admin *client.Admin, batchURL, name string, quota int) (*client.Session, error) {
 	tenant, err := admin.Create(ctx, name, quota)
 	if err != nil {
@@ -121,7 +121,7 @@
 	return batch.CreateSession(ctx, "default")
 }
 
-// ready waits until the node knows a worker that is ready.
+// ready waits until the node knows a ready worker.
 func (l *localNode) ready(ctx context.Context) error {
 	return fakeplatform.WaitUntil(ctx, demoReadyTimeout, func() bool {
 		ready := false
--- a/cmd/ospreybend/main.go
+++ b/cmd/ospreybend/main.go
@@ -1,9 +1,9 @@
-// Command ospreybend is the load-balancing node: it accepts operations from clients, decides by package balance which
-// worker each goes to, and returns the worker's response. Its other commands serve as a voter of a fleet of zones, call
-// a node's batch API, check configuration files and run measurements on loopback; see docs/CLI.md.
+// Command ospreybend is the load-balancing node: it accepts operations from clients, uses package balance to choose a
+// worker for each, and returns the worker's response. Its other commands run a voter of a fleet of zones, call a node's
+// batch API, check configuration files and run measurements on loopback; see docs/CLI.md.
 //
-// node.go starts a node, shutdown.go ends it gracefully, hot_restart.go hands its connections over to the next process,
-// reload.go applies a changed configuration and readiness.go signals that it serves.
+// node.go starts a node, shutdown.go shuts it down gracefully, hot_restart.go hands its connections over to the next
+// process, reload.go applies a changed configuration and readiness.go signals that the node is ready.
 package main
 
 import (
@@ -16,16 +16,16 @@
 	"ospreybend/internal/node/nodeconfig"
 )
 
-// version is the program's version, as the batch API reports it.
+// version is the program's version. The batch API reports it too.
 const version = "0.3.0"
 
-// signals are the caught signals on which the program has not acted yet.
+// signals receives the caught signals that the program has not handled yet.
 type signals struct {
 	shutdown chan os.Signal
-	reload   chan os.Signal // buffers one: the same reload serves what comes meanwhile
+	reload   chan os.Signal // buffers one signal: one pending reload covers all SIGHUPs that arrive meanwhile
 }
 
-// catchSignals starts to catch signals. A SIGHUP that is not caught would end the program, and it may come at any time,
+// catchSignals starts to catch signals. An uncaught SIGHUP would terminate the program, and SIGHUP may arrive at any time,
 // also during a shutdown.
 func catchSignals() signals {
 	s := signals{shutdown: make(chan os.Signal, 1), reload: make(chan os.Signal, 1)}
@@ -39,7 +39,7 @@
 	os.Exit(runCommand(caught, os.Args[1:], os.Stdout, os.Stderr))
 }
 
-// serve runs the node until it is signalled to shut down.
+// serve runs the node until the process is signalled to shut down.
 func serve(caught signals) error {
 	cfg, batch, err := loadNodeConfig(os.Getenv)
 	if err != nil {
@@ -70,8 +70,8 @@
 	return nil
 }
 
-// loadNodeConfig reads the files of the node, its batch API and its fleet, and reserves the descriptors that the latter
-// two need.
+// loadNodeConfig reads the configuration files of the node, its batch API and its fleet, and reserves the file
+// descriptors that the latter two need.
 func loadNodeConfig(getenv func(string) string) (*nodeconfig.Node, nodeconfig.Batch, error) {
 	cfg, err := nodeconfig.Load(getenv)
 	if err != nil {
--- a/cmd/ospreybend/node.go
+++ b/cmd/ospreybend/node.go
@@ -20,23 +20,24 @@
 )
 
 const (
-	maxProcs            = 4   // a loop in a system call must not delay a dial
-	memoryLimitFraction = 0.6 // of the configured memory: the collector's soft limit
+	maxProcs            = 4   // more than one, so that an event loop in a system call does not delay a dial
+	memoryLimitFraction = 0.6 // of the configured memory; soft limit of the garbage collector
 	countsInterval      = 10 * time.Second
 
-	// discoveryRandStream is the stream of the seed's random numbers that discovery draws from; the decision
-	// module has the first ones.
+	// discoveryRandStream selects the random stream of the seed that discovery draws from. The decision module draws from
+	// the stream whose number is its ordinal.
 	discoveryRandStream     = 2
 	discoveryConnectTimeout = 500 * time.Millisecond
 
-	maxAgentWait      = time.Second           // for a pushed endpoint list: the machine's own agent answers at once, or not at all
-	maxStartWait      = 5 * time.Second       // half of the time in which a restarted node has to be ready
-	maxListWait       = 2 * time.Second       // for a fresh endpoint list; after it a start goes by the cached one
-	readyPollInterval = 5 * time.Millisecond  // between two looks of a start whether it may accept clients
-	directoryInterval = 50 * time.Millisecond // between two looks into the directory that the node's processes share
+	maxAgentWait      = time.Second           // for a pushed endpoint list: the agent on this machine answers at once or not at all
+	maxStartWait      = 5 * time.Second       // half of the time within which a restarted node must be ready
+	maxListWait       = 2 * time.Second       // for a fresh endpoint list; after that the cached one is used
+	readyPollInterval = 5 * time.Millisecond  // between checks whether a starting node may accept clients
+	directoryInterval = 50 * time.Millisecond // between checks of the directory shared by the node's processes
 )
 
-// node wires the parts of the program. Its methods run on the event loop unless they say otherwise.
+// node holds the parts of the program and connects them. Its methods must be called on the event loop unless their
+// comments say otherwise.
 type node struct {
 	cfg  *nodeconfig.Node
 	loop *eventloop.Loop
@@ -45,39 +46,39 @@
 	destinations *protocol.Destinations
 	discovery    *protocol.Discovery
 	peers        *protocol.Peers
-	front        *protocol.Front
-	admin        *protocol.Admin // listens only where it has an address
-	batch        *batchFront     // nil: disabled
+	front        *protocol.Front // the clients' HTTP server
+	admin        *protocol.Admin // listens only if an address is configured
+	batch        *batchAPI       // nil if disabled
 
 	// Membership of the fleet of zones.
-	agent       *agent.Agent // nil: the node decides alone
+	agent       *agent.Agent // nil if the node does not belong to a fleet
 	voterClient *transport.Client
 	voters      []nodeconfig.FleetVoter
 
-	// On the loop's clock.
-	agentDeadline time.Duration // until then the agent's endpoint list is awaited
-	startDeadline time.Duration // from then on a start is over even if discovery has not answered yet
+	// Times on the event loop's clock.
+	agentDeadline time.Duration // the agent's endpoint list is awaited until then
+	startDeadline time.Duration // after it the startup is over even if discovery has not answered
 
-	// Hot restart: see hot_restart.go.
-	inherited      net.Listener          // the clients' socket, if the platform passes it on; nil: the front opens its own
-	directory      *hotrestart.Directory // shared by the processes of this node; nil: none
-	otherProcesses int                   // in the directory, at the start
+	// Hot restart, see hot_restart.go.
+	inherited      net.Listener          // the clients' socket if the platform passes it on; nil if the front opens its own
+	directory      *hotrestart.Directory // shared by the processes of this node; nil if it cannot be used
+	otherProcesses int                   // in the directory at startup
 	overrides      override.Overrides
 	stop           chan struct{} // closed at shutdown
-	stopReceiving  func()        // ends the hand-over from the predecessor; nil: none
+	stopReceiving  func()        // ends the hand-over from the predecessor; nil if there is none
 	shuttingDown   bool
 
 	pending pendingHandovers
 }
 
-// pendingHandovers are connections on their way to the successor.
+// pendingHandovers holds messages that are to be sent to the successor, with the sockets of their connections.
 type pendingHandovers struct {
-	learnedAdded bool // the module's learned state has been added to the messages once
+	learnedAdded bool // the decision module's learned state has been added to the messages; it is sent only once
 	messages     []*protocol.Handover
-	sockets      [][]*os.File // of the message at the same index
+	sockets      [][]*os.File // sockets[i] belong to messages[i]
 }
 
-// start builds a node, runs its event loop and returns it once it serves.
+// start creates a node, starts its event loop and its parts, and returns it. It must not be called on the event loop.
 func start(cfg *nodeconfig.Node) (*node, error) {
 	n, err := newNode(cfg)
 	if err != nil {
@@ -99,7 +100,7 @@
 	return n, nil
 }
 
-// newNode returns a node with an event loop that runs and no parts yet.
+// newNode returns a node with a running event loop but without its parts.
 func newNode(cfg *nodeconfig.Node) (*node, error) {
 	n := &node{cfg: cfg, overrides: override.Overrides{}, stop: make(chan struct{})}
 	var err error
@@ -124,7 +125,7 @@
 	n.agentDeadline, n.startDeadline = n.loop.Now()+maxAgentWait, n.loop.Now()+maxStartWait
 	n.front = n.newFront()
 	if n.inherited != nil && n.directory != nil {
-		n.receiveHandovers() // before it can be ready: the predecessor looks for its successor as soon as that is
+		n.receiveHandovers() // before this process can become ready: the predecessor looks for its successor as soon as that is ready
 	}
 	n.openAdmin()
 	if n.cfg.Admin != "" {
@@ -184,7 +185,8 @@
 	}, n.loop, n.core)
 }
 
-// startAccepting has the front accept clients: at once, or when the endpoint list or the fleet's commands are known.
+// startAccepting makes the front accept clients: at once, or, with an inherited listener or a fleet, once the endpoint
+// list or the fleet's commands are known.
 func (n *node) startAccepting() error {
 	switch {
 	case n.inherited != nil:
@@ -197,31 +199,31 @@
 	}
 }
 
-// acceptOnceAgentReady accepts clients once the agent knows the fleet's commands or has waited for them long enough:
-// a node that starts while a failed zone returns by steps must not send that zone its full share.
+// acceptOnceAgentReady accepts clients once the agent knows the fleet's commands or has waited long enough for them. A
+// node that starts while a failed zone is being brought back step by step must not send that zone its full share.
 func (n *node) acceptOnceAgentReady() error {
 	ln, err := net.Listen("tcp", n.cfg.Listen)
 	if err != nil {
 		return err
 	}
-	var look func()
-	look = func() {
+	var poll func()
+	poll = func() {
 		switch {
 		case n.shuttingDown:
 			_ = ln.Close()
 		case n.agent.Ready():
 			n.front.StartOn(ln)
 		default:
-			n.loop.Timers.Add(n.loop.Now()+readyPollInterval, look)
+			n.loop.Timers.Add(n.loop.Now()+readyPollInterval, poll)
 		}
 	}
-	look()
+	poll()
 	return nil
 }
 
-// acceptsClients reports whether the health check tells clients to come. Where endpoint lists are pushed, the agent's
-// list is awaited for at most maxAgentWait. A start without a ready worker in its cached list lasts no longer than
-// maxStartWait, however long discovery is unavailable: what comes then is rejected at once, which is harmless.
+// acceptsClients reports whether the health check succeeds, so that clients are sent to this node. If endpoint lists are
+// pushed, the agent's list is awaited for at most maxAgentWait. Without a ready worker in the cached list, the startup
+// ends after maxStartWait even if discovery is still unavailable: requests are then rejected at once, which is harmless.
 func (n *node) acceptsClients() bool {
 	if !n.cfg.Settings.SubscribeDiscovery && !n.discovery.Answered() && n.loop.Now() < n.agentDeadline {
 		return false
@@ -229,7 +231,7 @@
 	return n.core.AnyReady() || !n.discovery.Answered() && n.loop.Now() >= n.startDeadline
 }
 
-// logCounts logs the totals and schedules itself again.
+// logCounts logs the node's counters and schedules its next run.
 func (n *node) logCounts() {
 	core, front, discovery := n.core.Counts(), n.front.Counts(), n.discovery.Counts()
 	slog.Info("counts", "operations", core.Operations, "served", core.Served, "refused", core.Refused, "failed", core.Failed,
--- a/cmd/ospreybend/node_test.go
+++ b/cmd/ospreybend/node_test.go
@@ -22,17 +22,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	moved := strings.NewReplacer("127.0.0.1:8080", scriptedpeer.FreeAddress(t), "127.0.0.1:8500", scriptedpeer.FreeAddress(t),
+	replaced := strings.NewReplacer("127.0.0.1:8080", scriptedpeer.FreeAddress(t), "127.0.0.1:8500", scriptedpeer.FreeAddress(t),
 		"127.0.0.1:9901", scriptedpeer.FreeAddress(t)).Replace(string(text))
-	cfg, err := nodeconfig.Parse([]byte(moved), func(string) string { return "" })
+	cfg, err := nodeconfig.Parse([]byte(replaced), func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
 	}
 	return cfg
 }
 
-// The program starts with the example configuration, is unhealthy while no worker is known, but for no longer than a start
-// may take, and shuts down gracefully.
+// A node starts with the example configuration. It is unhealthy while no worker is known, but not beyond the startup
+// deadline, and shuts down gracefully.
 func TestNode_startAndShutdown(t *testing.T) {
 	n, err := start(exampleConfig(t))
 	if err != nil {
@@ -47,20 +47,20 @@
 		return response.StatusCode
 	}
 	if status := health(); status != http.StatusServiceUnavailable {
-		t.Errorf("health %d without a destination", status)
+		t.Errorf("GET /healthz without a known worker: status %d, want 503", status)
 	}
-	n.loop.Call(func() { n.startDeadline = n.loop.Now() }) // discovery has not answered for so long
+	n.loop.Call(func() { n.startDeadline = n.loop.Now() }) // as if discovery had not answered until the deadline
 	if status := health(); status != http.StatusOK {
-		t.Errorf("health %d when the start is over", status)
+		t.Errorf("GET /healthz after the startup deadline: status %d, want 200", status)
 	}
 	n.shutdown()
 	if c, err := net.Dial("tcp", n.cfg.Listen); err == nil {
 		c.Close()
-		t.Error("still listening")
+		t.Error("the node still accepts connections after its shutdown")
 	}
 }
 
-// SIGHUP is caught and reloads the configuration. An invalid file changes nothing.
+// SIGHUP is caught, and a reload moves the discovery watch to the new address. An invalid file changes nothing.
 func TestNode_reload(t *testing.T) {
 	caught := catchSignals()
 	for range 3 {
@@ -81,36 +81,36 @@
 	defer n.shutdown()
 	path := filepath.Join(t.TempDir(), "config.json")
 	env := func(key string) string { return map[string]string{"BALANCER_CONFIG": path}[key] }
-	write := func(old, now string) {
-		if err := os.WriteFile(path, []byte(strings.Replace(string(text), old, now, 1)), 0o600); err != nil {
+	write := func(old, replacement string) {
+		if err := os.WriteFile(path, []byte(strings.Replace(string(text), old, replacement, 1)), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		n.reload(env)
 	}
-	next, err := net.Listen("tcp", "127.0.0.1:0")
+	newDiscovery, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer next.Close()
+	defer newDiscovery.Close()
 	n.loop.Call(func() { n.discovery.Watch(true) })
-	write("127.0.0.1:8500", next.Addr().String())
+	write("127.0.0.1:8500", newDiscovery.Addr().String())
 	write("127.0.0.1:8500", "nowhere") // invalid: the address stays
-	if err := next.(*net.TCPListener).SetDeadline(time.Now().Add(10 * time.Second)); err != nil {
+	if err := newDiscovery.(*net.TCPListener).SetDeadline(time.Now().Add(10 * time.Second)); err != nil {
 		t.Fatal(err)
 	}
-	watch, err := next.Accept()
+	watch, err := newDiscovery.Accept()
 	if err != nil {
-		t.Fatal("the watch has not moved:", err)
+		t.Fatal("no watch at the new discovery address after the reload:", err)
 	}
 	watch.Close()
 	var address string
 	n.loop.Call(func() { address = n.discovery.Address() })
-	if address != next.Addr().String() {
-		t.Errorf("discovery at %s, want %s", address, next.Addr())
+	if address != newDiscovery.Addr().String() {
+		t.Errorf("discovery address after a reload of an invalid file: %s, want %s", address, newDiscovery.Addr())
 	}
 }
 
-func TestNode_startWithBatchFront(t *testing.T) {
+func TestNode_startWithBatchAPI(t *testing.T) {
 	sum := sha256.Sum256([]byte("chief"))
 	b := nodeconfig.Batch{Enabled: true, Listen: scriptedpeer.FreeAddress(t), MaxSockets: 64, Store: "sqlite",
 		Source: filepath.Join(t.TempDir(), "x.db"), AdminListen: scriptedpeer.FreeAddress(t), AdminMaxSockets: 32,
@@ -126,18 +126,18 @@
 	if n.batch, err = n.startBatch(b); err != nil {
 		t.Fatal(err)
 	}
-	ask, err := http.NewRequest("GET", "http://"+b.AdminListen+"/admin/v1/tenants", nil)
+	request, err := http.NewRequest("GET", "http://"+b.AdminListen+"/admin/v1/tenants", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	ask.Header.Set("Authorization", "Bearer chief")
-	response, err := http.DefaultClient.Do(ask)
+	request.Header.Set("Authorization", "Bearer chief")
+	response, err := http.DefaultClient.Do(request)
 	if err != nil {
 		t.Fatal(err)
 	}
 	response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		t.Errorf("the administration answers %d", response.StatusCode)
+		t.Errorf("GET /admin/v1/tenants: status %d, want 200", response.StatusCode)
 	}
 	n.shutdown()
 }
--- a/cmd/ospreybend/readiness.go
+++ b/cmd/ospreybend/readiness.go
@@ -14,21 +14,21 @@
 	readyCheckTimeout  = time.Second
 )
 
-// signalReady writes a line to the descriptor that OSPREYBEND_READY_FD names once all addresses of the process answer,
-// and closes it. It returns when it has done so or ctx has ended.
-func signalReady(ctx context.Context, answers func() bool) {
+// signalReady writes a line to the file descriptor given by OSPREYBEND_READY_FD once ready returns true, and closes the
+// descriptor. It returns after that or when ctx ends. Without the variable it does nothing.
+func signalReady(ctx context.Context, ready func() bool) {
 	text := os.Getenv("OSPREYBEND_READY_FD")
 	if text == "" {
 		return
 	}
 	fd, err := strconv.Atoi(text)
 	if err != nil || fd < 3 {
-		slog.Error("OSPREYBEND_READY_FD names no descriptor above 2", "value", text)
+		slog.Error("readiness not signalled: OSPREYBEND_READY_FD must be the number of a file descriptor above 2", "value", text)
 		return
 	}
 	f := os.NewFile(uintptr(fd), "ready")
 	defer f.Close()
-	for !answers() {
+	for !ready() {
 		select {
 		case <-ctx.Done():
 			return
@@ -40,7 +40,7 @@
 	}
 }
 
-// answersHealthCheck reports whether an HTTP server answers at an address, with whatever status.
+// answersHealthCheck reports whether an HTTP server at the address responds to a health check, with any status.
 func answersHealthCheck(client *http.Client, address string) bool {
 	response, err := client.Get("http://" + address + "/healthz")
 	if err != nil {
@@ -49,18 +49,18 @@
 	return response.Body.Close() == nil
 }
 
-// signalNodeReady signals that the node is ready: it accepts clients, some worker is ready and all its addresses
-// answer. It runs off the loop.
+// signalNodeReady signals that the node is ready once it accepts clients, knows a ready worker, and all its servers
+// respond. It must not be called on the event loop.
 func (n *node) signalNodeReady(ctx context.Context) {
 	client := &http.Client{Timeout: readyCheckTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
-	others := []string{}
+	addresses := []string{}
 	if n.cfg.Admin != "" {
-		others = append(others, n.cfg.Admin)
+		addresses = append(addresses, n.cfg.Admin)
 	}
 	if n.batch != nil {
-		others = append(others, n.batch.cfg.Listen)
-		if at := n.batch.cfg.AdminListen; at != "" {
-			others = append(others, at)
+		addresses = append(addresses, n.batch.cfg.Listen)
+		if adminAddress := n.batch.cfg.AdminListen; adminAddress != "" {
+			addresses = append(addresses, adminAddress)
 		}
 	}
 	signalReady(ctx, func() bool {
@@ -69,8 +69,8 @@
 		if !serves || n.inherited == nil && !answersHealthCheck(client, n.cfg.Listen) {
 			return false
 		}
-		for _, at := range others {
-			if !answersHealthCheck(client, at) {
+		for _, address := range addresses {
+			if !answersHealthCheck(client, address) {
 				return false
 			}
 		}
--- a/cmd/ospreybend/reload.go
+++ b/cmd/ospreybend/reload.go
@@ -6,8 +6,9 @@
 	"ospreybend/internal/node/nodeconfig"
 )
 
-// reload reads the configuration again. The address of discovery takes effect at once; everything else needs a restart.
-// An invalid file changes nothing. It runs off the loop.
+// reload rereads the node's configuration file and then the batch API's. In the node's file only the discovery address
+// takes effect at once; everything else needs a restart. An invalid file changes nothing. It must not be called on the
+// event loop.
 func (n *node) reload(getenv func(string) string) {
 	cfg, err := nodeconfig.Load(getenv)
 	if err != nil {
--- a/cmd/ospreybend/shutdown.go
+++ b/cmd/ospreybend/shutdown.go
@@ -7,44 +7,45 @@
 	"ospreybend/internal/node/hotrestart"
 )
 
-// Limits of a graceful shutdown. The platform may kill the process once the longest deadline of a request, of which it
-// counts maxDrainTime at most, and 0.7 s more have passed since the signal.
+// Limits of a graceful shutdown. After the signal, the platform waits for the longest deadline of a request, at most
+// maxDrainTime, and 0.7 s more before it may kill the process.
 const (
-	shutdownAcceptTime = 600 * time.Millisecond // new connections come for up to 0.4 s after the signal
+	shutdownAcceptTime = 600 * time.Millisecond // new connections arrive for up to 0.4 s after the signal
 	maxDrainTime       = 3 * time.Second
 	drainMargin        = 550 * time.Millisecond // of the platform's 0.7 s
-	disconnectWait     = 100 * time.Millisecond // for clients to close their side: the end of a process cuts off what they have not read
+	disconnectWait     = 100 * time.Millisecond // for clients to close their side: the exit of the process cuts off data that they have not read
 	flushTime          = 50 * time.Millisecond  // for the last responses to be written
-	shutdownGrace      = time.Second            // past the longest deadline, for what is handed over late
+	shutdownGrace      = time.Second            // after the longest deadline, for connections that are handed over late
 
-	lastAcceptMargin    = 700 * time.Millisecond // before the drain deadline: nothing new is accepted after it
-	peerInterval        = 50 * time.Millisecond  // between two looks whether a peer serves
-	maxPeerHeartbeatAge = 500 * time.Millisecond // a node that serves notifies its peers more often
-	maxHeardPeers       = 10                     // of more nodes a planned restart leaves some serving at any time
+	lastAcceptMargin    = 700 * time.Millisecond // before the drain deadline; no connection is accepted after it
+	peerInterval        = 50 * time.Millisecond  // between checks whether a peer serves
+	maxPeerHeartbeatAge = 500 * time.Millisecond // a serving node sends heartbeats to its peers more often
+	maxAwaitedPeers     = 10                     // with more peers, a planned restart leaves some nodes serving at any time
 )
 
-// shutdownPlan is when the steps of a graceful shutdown are due.
+// shutdownPlan holds the deadlines of the steps of a graceful shutdown.
 type shutdownPlan struct {
-	acceptUntil time.Time // new connections come at least until then
-	lastAccept  time.Time // nothing new is accepted after it
-	drained     time.Time // the pending requests' deadlines end by then
+	acceptUntil time.Time // new connections are expected at least until then
+	lastAccept  time.Time // no connection is accepted after it
+	drained     time.Time // the deadlines of all pending requests end by then
 }
 
-// planShutdown plans a shutdown that began at a time, for requests with the given longest deadline.
+// planShutdown returns the plan of a shutdown that began at the given time, for requests with the given longest deadline.
 func planShutdown(began time.Time, longest time.Duration) shutdownPlan {
 	drained := began.Add(min(longest, maxDrainTime) + drainMargin)
 	return shutdownPlan{acceptUntil: began.Add(shutdownAcceptTime), lastAccept: drained.Add(-lastAcceptMargin), drained: drained}
 }
 
-// clientsGone is when the process no longer waits for clients to close their connections.
+// clientsGone returns the time after which the process no longer waits for clients to close their connections.
 func (p shutdownPlan) clientsGone() time.Time { return p.drained.Add(disconnectWait) }
 
-// end is when the process ends at the latest, batch jobs aside.
+// end returns the latest time at which the process exits, not counting the shutdown of the batch API.
 func (p shutdownPlan) end() time.Time { return p.clientsGone().Add(flushTime) }
 
-// shutdown answers the accepted requests and returns once all responses are written. A node with a listener of its own
-// goes on accepting for a while after the signal. With an inherited one, new connections are the successor's, which
-// also takes over the open ones; the rest is answered before the platform may kill the process.
+// shutdown finishes the accepted requests and returns once all responses are written. A node with its own listener keeps
+// accepting connections for a while after the signal. With an inherited listener, the successor accepts new connections
+// and takes over the open ones; the remaining requests are finished before the platform may kill the process. It must not
+// be called on the event loop.
 func (n *node) shutdown() {
 	began := time.Now()
 	slog.Info("shutting down", "inherited", n.inherited != nil)
@@ -77,10 +78,10 @@
 	slog.Info("shut down")
 }
 
-// beginShutdown marks the parts as shutting down. It runs off the loop.
+// beginShutdown marks the parts as shutting down. It must not be called on the event loop.
 func (n *node) beginShutdown() {
 	if n.stopReceiving != nil {
-		n.stopReceiving() // a process that shuts down next has to find the one that stays
+		n.stopReceiving() // the next process that shuts down must find the one that remains, not this one
 	}
 	n.loop.Call(func() {
 		n.shuttingDown = true
@@ -107,8 +108,8 @@
 	return longest
 }
 
-// stopAccepting has the front accept nothing new after the remaining time. The channel that it returns is closed once
-// the front is drained. It runs off the loop.
+// stopAccepting makes the front stop accepting connections after the remaining time. The returned channel is closed once
+// the front is drained. It must not be called on the event loop.
 func (n *node) stopAccepting(successor *hotrestart.Successor, deadline time.Time, remaining time.Duration) <-chan struct{} {
 	drained := make(chan struct{})
 	n.loop.Call(func() {
@@ -128,19 +129,20 @@
 	return drained
 }
 
-// limitDeadlines moves the deadlines of all pending requests to the given time at the latest.
+// limitDeadlines shortens the deadlines of all pending requests to the given time if they are later.
 func (n *node) limitDeadlines(latest time.Time) {
 	n.core.LimitDeadlines(n.front, n.loop.Now()+time.Until(latest))
 }
 
-// keepAccepting returns when clients no longer come and a peer reports that it serves: in a rolling restart the next
-// node may stop before the previous one is back, and clients would reach nobody. A large group is never all gone, and
-// too large for each node to notify all the others. It runs off the loop.
+// keepAccepting returns when no more clients are expected and a peer reports that it serves, or at plan.lastAccept. In a
+// rolling restart, the next node may stop before the previous one is back, and clients would reach no node at all. Large
+// groups do not wait: some of their nodes always serve, and they are too large for each node to send heartbeats to all
+// others. It must not be called on the event loop.
 func (n *node) keepAccepting(plan shutdownPlan) {
 	time.Sleep(time.Until(plan.acceptUntil))
 	for alone := true; time.Now().Before(plan.lastAccept); time.Sleep(peerInterval) {
 		n.loop.Call(func() { alone = !n.core.PeersHeardWithin(maxPeerHeartbeatAge) })
-		if !alone || n.cfg.PeerListen == "" || len(n.cfg.Peers) < 2 || len(n.cfg.Peers) > maxHeardPeers {
+		if !alone || n.cfg.PeerListen == "" || len(n.cfg.Peers) < 2 || len(n.cfg.Peers) > maxAwaitedPeers {
 			return
 		}
 	}
--- a/cmd/ospreybend/voter.go
+++ b/cmd/ospreybend/voter.go
@@ -13,13 +13,13 @@
 	"ospreybend/internal/node/zones/transport"
 )
 
-// withoutCheckEnv names the variable by which a trial disables one check of the fleet's protocol.
+// withoutCheckEnv is the environment variable with which a trial disables one check of the fleet's protocol.
 const withoutCheckEnv = "OSPREYBEND_WITHOUT"
 
-// errNoVoter is returned when the fleet's file does not describe a voter of this process.
-var errNoVoter = errors.New("fleet: this process is told of no voter; docs/FLEET.md says what its file has to hold")
+// errNoVoter is returned if the fleet's file does not configure this process as a voter.
+var errNoVoter = errors.New("fleet: the configuration file does not make this process a voter; see docs/FLEET.md")
 
-// checkMajority is the name of the check that a zone's failure is reported by a majority of its observers.
+// checkMajority is the name of the check that a majority of a zone's observers reports its failure.
 const checkMajority = "majority"
 
 // voterCmd serves as one of the fleet's voters.
@@ -49,7 +49,8 @@
 	return voter.Run(ctx)
 }
 
-// loadVoterConfig reads the fleet's file and the node's, whose classes the failover decisions need.
+// loadVoterConfig reads the configuration files of the fleet and of the node; failover decisions need the node's request
+// classes.
 func loadVoterConfig(getenv func(string) string) (server.Config, error) {
 	fleet, err := nodeconfig.LoadFleet(getenv)
 	if err != nil {
@@ -79,7 +80,7 @@
 	return config, nil
 }
 
-// failoverClasses returns what the failover decisions need to know of the node's request classes.
+// failoverClasses returns the properties of the node's request classes that failover decisions need.
 func failoverClasses(node *nodeconfig.Node) []failover.Class {
 	var classes []failover.Class
 	for i, name := range node.ClassNames {
