--- a/cmd/ospreybend/batch.go
+++ b/cmd/ospreybend/batch.go
@@ -30,34 +30,34 @@
 func (n *node) startBatch(cfg nodeconfig.Batch) (*batchAPI, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), storeLoadTimeout)
 	defer cancel()
-	record, err := store.Open(ctx, cfg.Store, cfg.Source)
+	recordStore, err := store.Open(ctx, cfg.Store, cfg.Source)
 	if err != nil {
 		return nil, err
 	}
-	tenants, err := record.Tenants(ctx)
+	tenants, err := recordStore.Tenants(ctx)
 	if err != nil {
 		return nil, fmt.Errorf("store: read tenants: %w", err)
 	}
-	sessions, err := record.Sessions(ctx)
+	sessions, err := recordStore.Sessions(ctx)
 	if err != nil {
 		return nil, fmt.Errorf("store: read sessions: %w", err)
 	}
-	unfinished, arrays, err := record.Unfinished(ctx)
+	unfinished, arrays, err := recordStore.Unfinished(ctx)
 	if err != nil {
 		return nil, fmt.Errorf("store: read unfinished jobs: %w", err)
 	}
-	f := &batchAPI{cfg: cfg, executor: store.NewExecutor(record, n.loop.Post)}
+	b := &batchAPI{cfg: cfg, executor: store.NewExecutor(recordStore, n.loop.Post)}
 	n.loop.Call(func() {
-		f.jobs = jobs.New(n.jobsConfig(cfg), n.core, f.executor, n.loop, &n.loop.Timers)
-		n.core.SetLoadObserver(f.jobs)
-		f.jobs.Load(tenants, sessions, unfinished, arrays)
-		err = f.startServers(n)
+		b.jobs = jobs.New(n.jobsConfig(cfg), n.core, b.executor, n.loop, &n.loop.Timers)
+		n.core.SetLoadObserver(b.jobs)
+		b.jobs.Load(tenants, sessions, unfinished, arrays)
+		err = b.startServers(n)
 	})
 	if err != nil {
 		return nil, fmt.Errorf("batch: %w", err)
 	}
 	slog.Info("batch front", "listen", cfg.Listen, "admin", cfg.AdminListen, "store", cfg.Store)
-	return f, nil
+	return b, nil
 }
 
 // jobsConfig returns the configuration of the job manager.
@@ -71,15 +71,15 @@
 
 // startServers starts the tenants' server and, if an address is configured for it, the administration server. It runs on
 // the event loop.
-func (f *batchAPI) startServers(node *node) error {
-	cfg := f.cfg
-	api := httpapi.New(f.jobs, node.loop, &node.loop.Timers, version)
-	f.servers = append(f.servers, protocol.NewServer(node.loop, cfg.Listen, cfg.MaxSockets, node.cfg.FrontMaxBufferedBytes, api.Serve))
+func (b *batchAPI) startServers(node *node) error {
+	cfg := b.cfg
+	api := httpapi.New(b.jobs, node.loop, &node.loop.Timers, version)
+	b.servers = append(b.servers, protocol.NewServer(node.loop, cfg.Listen, cfg.MaxSockets, node.cfg.FrontMaxBufferedBytes, api.Serve))
 	if cfg.AdminListen != "" {
-		f.admin = httpapi.NewAdmin(api, f.jobs.StoreExecutor(), cfg.AdminTokenSHA256)
-		f.servers = append(f.servers, protocol.NewServer(node.loop, cfg.AdminListen, cfg.AdminMaxSockets, node.cfg.FrontMaxBufferedBytes, f.admin.Serve))
+		b.admin = httpapi.NewAdmin(api, b.jobs.StoreExecutor(), cfg.AdminTokenSHA256)
+		b.servers = append(b.servers, protocol.NewServer(node.loop, cfg.AdminListen, cfg.AdminMaxSockets, node.cfg.FrontMaxBufferedBytes, b.admin.Serve))
 	}
-	for _, server := range f.servers {
+	for _, server := range b.servers {
 		server.FormatError = httpapi.FormatError
 		if err := server.Start(); err != nil {
 			return err
@@ -100,23 +100,23 @@
 
 // reload rereads the batch API's configuration file, applies the settings that can change at run time and logs the other
 // changed keys. An invalid file changes nothing. It must not be called on the event loop.
-func (f *batchAPI) reload(node *node, getenv func(string) string) {
+func (b *batchAPI) reload(node *node, getenv func(string) string) {
 	cfg, err := nodeconfig.LoadBatch(getenv)
 	if err != nil {
 		slog.Error("reload: invalid batch API configuration ignored", "error", err)
 		return
 	}
-	if keys := f.cfg.NeedRestart(cfg); len(keys) > 0 {
+	if keys := b.cfg.NeedRestart(cfg); len(keys) > 0 {
 		slog.Warn("reload: some batch API keys take effect at the next start", "keys", keys)
 	}
 	if !cfg.Enabled {
 		return
 	}
 	node.loop.Call(func() {
-		f.jobs.Reconfigure(node.batchSlots(cfg), time.Duration(cfg.TargetMS)*time.Millisecond,
+		b.jobs.Reconfigure(node.batchSlots(cfg), time.Duration(cfg.TargetMS)*time.Millisecond,
 			time.Duration(cfg.MaxWaitSeconds)*time.Second, cfg.MaxEvents)
-		if f.admin != nil && cfg.AdminTokenSHA256 != "" {
-			f.admin.SetTokenHash(cfg.AdminTokenSHA256)
+		if b.admin != nil && cfg.AdminTokenSHA256 != "" {
+			b.admin.SetTokenHash(cfg.AdminTokenSHA256)
 		}
 	})
 	slog.Info("reload: batch front", "slots", node.batchSlots(cfg), "target_ms", cfg.TargetMS, "longest_wait_s", cfg.MaxWaitSeconds,
@@ -125,23 +125,23 @@
 
 // shutdown stops the batch API once no operation or write is in progress, or at the deadline. Jobs that are unfinished by
 // then remain in the store. It must not be called on the event loop.
-func (f *batchAPI) shutdown(node *node, deadline time.Time) {
+func (b *batchAPI) shutdown(node *node, deadline time.Time) {
 	pending := func() (count int) {
-		node.loop.Call(func() { count = f.jobs.Pending() })
+		node.loop.Call(func() { count = b.jobs.Pending() })
 		return count
 	}
 	for time.Now().Before(deadline) && pending() > 0 {
 		time.Sleep(flushTime)
 	}
-	node.loop.Call(f.jobs.EndWaits)
+	node.loop.Call(b.jobs.EndWaits)
 	time.Sleep(flushTime)
 	node.loop.Call(func() {
-		for _, server := range f.servers {
+		for _, server := range b.servers {
 			server.Stop(0, func() {})
 		}
-		f.executor.Shutdown()
+		b.executor.Shutdown()
 	})
-	if err := f.executor.Wait(); err != nil {
+	if err := b.executor.Wait(); err != nil {
 		slog.Error("store of record", "error", err)
 	}
 }
--- a/cmd/ospreybend/child_process.go
+++ b/cmd/ospreybend/child_process.go
@@ -155,7 +155,7 @@
 	return current, peak
 }
 
-// tenant creates a tenant and opens a session for it.
-func (c *child) tenant(ctx context.Context, name string, quota int) (*client.Session, error) {
+// createTenantSession creates a tenant and opens a session for it.
+func (c *child) createTenantSession(ctx context.Context, name string, quota int) (*client.Session, error) {
 	return newTenantSession(ctx, c.admin, c.batch, name, quota)
 }
--- a/cmd/ospreybend/cli_test.go
+++ b/cmd/ospreybend/cli_test.go
@@ -30,7 +30,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(node.shutdown)
-	if err := node.ready(t.Context()); err != nil {
+	if err := node.waitReady(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	return node
--- a/cmd/ospreybend/demo.go
+++ b/cmd/ospreybend/demo.go
@@ -61,7 +61,7 @@
 		return err
 	}
 	defer func() { node.shutdown(); printf("\nThe node has shut down; every accepted request was answered.") }()
-	if err := node.ready(ctx); err != nil {
+	if err := node.waitReady(ctx); err != nil {
 		return err
 	}
 	printf("Three fake prep workers with two slots each, a fake discovery service, and a node:")
@@ -119,7 +119,7 @@
 
 // demoBatch submits jobs as a batch client does, and prints their events and final states.
 func demoBatch(ctx context.Context, node *localNode, env *cli.Env, printf printFunc) error {
-	session, err := node.tenant(ctx, "workshop", 100)
+	session, err := node.createTenantSession(ctx, "workshop", 100)
 	if err != nil {
 		return err
 	}
--- a/cmd/ospreybend/hot_restart_test.go
+++ b/cmd/ospreybend/hot_restart_test.go
@@ -99,7 +99,7 @@
 // loadWithoutTimeouts returns the testbed's load with deadlines that a slow machine does not exceed, and with so few
 // pending jobs that none waits for a free slot.
 func (s *restartTestbed) loadWithoutTimeouts(prefix string, rate float64, duration time.Duration) loadgen.Config {
-	config := s.load(prefix, rate, duration)
+	config := s.loadConfig(prefix, rate, duration)
 	config.MaxPending, config.DialTimeout = maxPendingJobs, conditionTimeout
 	for i := range config.Classes {
 		config.Classes[i].Within = conditionTimeout
--- a/cmd/ospreybend/local_node.go
+++ b/cmd/ospreybend/local_node.go
@@ -103,8 +103,8 @@
 	return local, nil
 }
 
-// tenant creates a tenant and opens a session for it.
-func (l *localNode) tenant(ctx context.Context, name string, quota int) (*client.Session, error) {
+// createTenantSession creates a tenant and opens a session for it.
+func (l *localNode) createTenantSession(ctx context.Context, name string, quota int) (*client.Session, error) {
 	return newTenantSession(ctx, l.admin, "http://"+l.batch.Listen, name, quota)
 }
 
@@ -121,8 +121,8 @@
 	return batch.CreateSession(ctx, "default")
 }
 
-// ready waits until the node knows a ready worker.
-func (l *localNode) ready(ctx context.Context) error {
+// waitReady waits until the node knows a ready worker.
+func (l *localNode) waitReady(ctx context.Context) error {
 	return fakeplatform.WaitUntil(ctx, demoReadyTimeout, func() bool {
 		ready := false
 		l.node.loop.Call(func() { ready = l.node.core.AnyReady() })
--- a/cmd/ospreybend/measure_backlog.go
+++ b/cmd/ospreybend/measure_backlog.go
@@ -79,7 +79,7 @@
 		return err
 	}
 	defer func() { _ = node.shutdown() }()
-	session, err := node.tenant(env.Ctx, "backlog", 4*c.Jobs)
+	session, err := node.createTenantSession(env.Ctx, "backlog", 4*c.Jobs)
 	if err != nil {
 		return err
 	}
--- a/cmd/ospreybend/measure_kill.go
+++ b/cmd/ospreybend/measure_kill.go
@@ -106,7 +106,7 @@
 		return audit, err
 	}
 	defer func() { _ = node.kill() }()
-	session, err := node.tenant(ctx, "anna", 1_000_000)
+	session, err := node.createTenantSession(ctx, "anna", 1_000_000)
 	if err != nil {
 		return audit, err
 	}
--- a/cmd/ospreybend/measure_shutdown.go
+++ b/cmd/ospreybend/measure_shutdown.go
@@ -73,7 +73,7 @@
 	if err := node.start(env.Ctx); err != nil {
 		return errors.Join(err, node.kill())
 	}
-	result, err := c.play(env.Ctx, fleet, node)
+	result, err := c.shutDownUnderLoad(env.Ctx, fleet, node)
 	if err != nil {
 		return errors.Join(err, node.kill())
 	}
@@ -97,8 +97,9 @@
 	return nil
 }
 
-// play puts the node under load, sends SIGTERM after the warm-up responses, and waits for the node and all clients to end.
-func (c *measureShutdown) play(ctx context.Context, fleet *fakeplatform.Fleet, node *child) (shutdownResult, error) {
+// shutDownUnderLoad puts the node under load, sends SIGTERM after the warm-up responses, and waits for the node and all
+// clients to end.
+func (c *measureShutdown) shutDownUnderLoad(ctx context.Context, fleet *fakeplatform.Fleet, node *child) (shutdownResult, error) {
 	var result shutdownResult
 	var unreadIDs []string
 	var mutex sync.Mutex
--- a/cmd/ospreybend/measure_stall.go
+++ b/cmd/ospreybend/measure_stall.go
@@ -92,7 +92,7 @@
 		return phase, err
 	}
 	defer func() { _ = node.kill() }()
-	session, err := node.tenant(ctx, "anna", 1_000_000)
+	session, err := node.createTenantSession(ctx, "anna", 1_000_000)
 	if err != nil {
 		return phase, err
 	}
--- a/cmd/ospreybend/measure_submit.go
+++ b/cmd/ospreybend/measure_submit.go
@@ -103,7 +103,7 @@
 		return err
 	}
 	defer func() { _ = node.shutdown() }()
-	session, err := node.tenant(env.Ctx, "submit", 1_000_000)
+	session, err := node.createTenantSession(env.Ctx, "submit", 1_000_000)
 	if err != nil {
 		return err
 	}
--- a/cmd/ospreybend/measure_upgrade.go
+++ b/cmd/ospreybend/measure_upgrade.go
@@ -66,7 +66,9 @@
 	}
 	defer func() { _ = current.kill() }()
 	loadResult := make(chan *loadgen.Result, 1)
-	go func() { loadResult <- loadgen.Run(ctx, testbed.load("u", c.Rate, time.Duration(c.Upgrades+1)*c.Every)) }()
+	go func() {
+		loadResult <- loadgen.Run(ctx, testbed.loadConfig("u", c.Rate, time.Duration(c.Upgrades+1)*c.Every))
+	}()
 	for range c.Upgrades {
 		select {
 		case <-ctx.Done():
--- a/cmd/ospreybend/restart_testbed.go
+++ b/cmd/ospreybend/restart_testbed.go
@@ -140,8 +140,8 @@
 	return strings.Contains(text, "balancer."+metric+"\n")
 }
 
-// load returns the configuration of a load on the clients' address.
-func (s *restartTestbed) load(prefix string, rate float64, duration time.Duration) loadgen.Config {
+// loadConfig returns the configuration of a load on the clients' address.
+func (s *restartTestbed) loadConfig(prefix string, rate float64, duration time.Duration) loadgen.Config {
 	class := func(name string) loadgen.Class {
 		return loadgen.Class{Name: name, Share: 0.5, Target: time.Second, Within: restartLoadDeadline}
 	}
--- a/cmd/ospreybend/shutdown_test.go
+++ b/cmd/ospreybend/shutdown_test.go
@@ -28,7 +28,7 @@
 func shutdownUnderLoad(t *testing.T, hang bool) {
 	const run = 40 * time.Millisecond
 	fleet, n := startChild(t, shutdownWorkers, shutdownSlots, run)
-	result, err := (&measureShutdown{Clients: 100, JobRun: run, Hang: hang}).play(t.Context(), fleet, n)
+	result, err := (&measureShutdown{Clients: 100, JobRun: run, Hang: hang}).shutDownUnderLoad(t.Context(), fleet, n)
 	if err != nil {
 		t.Errorf("shutdown under load: %v, want exit code 0", err)
 	}
