--- a/internal/node/batch/cli/cli.go
+++ b/internal/node/batch/cli/cli.go
@@ -1,5 +1,7 @@
-// Package cli has the commands that call a server: jobs, sessions and tenants.
-// They are built on the public client.
+// Package cli implements the subcommands that call a running server: job, session, tenant and
+// store. They use the public client (package drmaa/client).
+//
+// The command line is derived by kong from the names of the exported fields and types.
 package cli
 
 import (
@@ -17,36 +19,36 @@
 	"ospreybend/drmaa/client"
 )
 
-// Exit codes, as docs/CLI.md has them.
+// The exit codes that docs/CLI.md documents.
 const (
 	ExitOK      = 0
 	ExitError   = 1
 	ExitUsage   = 2
-	ExitFailed  = 3 // the job that was waited for has FAILED
-	ExitUnknown = 4 // an argument makes no sense, or nothing is of that name
-	ExitDenied  = 5
-	ExitLater   = 6 // rejected for now
-	ExitTimeout = 7
-	ExitState   = 8 // the state of the job or session rules it out
+	ExitFailed  = 3 // the job that was waited for ended as FAILED
+	ExitUnknown = 4 // an argument is invalid or unsupported, or names nothing that exists
+	ExitDenied  = 5 // access denied
+	ExitLater   = 6 // rejected temporarily; retry later
+	ExitTimeout = 7 // the wait or the call timed out
+	ExitState   = 8 // the state of the job or session does not allow the operation
 )
 
-// errFailed is a job's end as FAILED.
-var errFailed = errors.New("the job has FAILED")
+// errJobFailed reports that the job that was waited for ended as FAILED.
+var errJobFailed = errors.New("the job ended in state FAILED")
 
-// ExitCode is the exit code that goes with an error.
+// ExitCode returns the exit code for the error of a command.
 func ExitCode(err error) int {
-	var e *drmaa.Error
+	var drmaaErr *drmaa.Error
 	switch {
 	case err == nil:
 		return ExitOK
-	case errors.Is(err, errFailed):
+	case errors.Is(err, errJobFailed):
 		return ExitFailed
-	case errors.Is(err, context.DeadlineExceeded) && !errors.As(err, &e):
+	case errors.Is(err, context.DeadlineExceeded) && !errors.As(err, &drmaaErr):
 		return ExitTimeout
-	case !errors.As(err, &e):
+	case !errors.As(err, &drmaaErr):
 		return ExitError
 	}
-	switch e.Name {
+	switch drmaaErr.Name {
 	case drmaa.Denied:
 		return ExitDenied
 	case drmaa.TryLater:
@@ -61,47 +63,48 @@
 	return ExitError
 }
 
-// Env is what a command runs in.
+// Env is the environment of a command: its context, output and environment variables.
 type Env struct {
 	Ctx    context.Context
 	Out    io.Writer
 	Getenv func(string) string
-	JSON   bool
+	JSON   bool // write results as JSON instead of text
 }
 
-// Show writes a value as JSON, or by the given function for people.
-func (e *Env) Show(v any, people func(w io.Writer)) error {
+// Show writes a result: v as JSON if JSON output is requested, else the text that writeText
+// writes, with tab-separated cells aligned in columns.
+func (e *Env) Show(v any, writeText func(w io.Writer)) error {
 	if e.JSON {
 		return json.NewEncoder(e.Out).Encode(v)
 	}
 	w := tabwriter.NewWriter(e.Out, 0, 4, 2, ' ', 0)
-	people(w)
+	writeText(w)
 	return w.Flush()
 }
 
-// Token finds a token: in the file, where one is named, else in the environment.
-// It is never an argument, which others on the machine could read.
+// Token reads a token from the file, or if file is empty from the environment variable. A token
+// is never accepted as an argument, since other users of the machine can read those.
 func (e *Env) Token(file, variable string) (string, error) {
 	if file != "" {
-		text, err := os.ReadFile(file)
+		content, err := os.ReadFile(file)
 		if err != nil {
-			return "", err
+			return "", fmt.Errorf("read the token file: %w", err)
 		}
-		return strings.TrimSpace(string(text)), nil
+		return strings.TrimSpace(string(content)), nil
 	}
-	if t := e.Getenv(variable); t != "" {
-		return t, nil
+	if token := e.Getenv(variable); token != "" {
+		return token, nil
 	}
-	return "", fmt.Errorf("no token: name a file with --token-file, or set %s", variable)
+	return "", fmt.Errorf("no token: set %[1]s, or name a file with the token in a flag or in %[1]s_FILE", variable)
 }
 
-// Server is where the batch front is, and who asks.
+// Server has the flags of all commands that call the batch front: its address and the token.
 type Server struct {
-	URL       string `help:"The batch front's address." default:"http://127.0.0.1:8090" env:"OSPREYBEND_URL"`
-	TokenFile string `help:"A file with the token; else OSPREYBEND_TOKEN has it." type:"path" env:"OSPREYBEND_TOKEN_FILE"`
+	URL       string `help:"Address of the batch front." default:"http://127.0.0.1:8090" env:"OSPREYBEND_URL"`
+	TokenFile string `help:"File with the token. Without it the token is read from OSPREYBEND_TOKEN." type:"path" env:"OSPREYBEND_TOKEN_FILE"`
 }
 
-func (s *Server) client(env *Env) (*client.Client, error) {
+func (s *Server) newClient(env *Env) (*client.Client, error) {
 	token, err := env.Token(s.TokenFile, "OSPREYBEND_TOKEN")
 	if err != nil {
 		return nil, err
@@ -109,10 +112,11 @@
 	return client.New(s.URL, token, client.WithMaxAttempts(5))
 }
 
-// shortTime cuts a time to what a person reads.
-func shortTime(stamp string) string {
-	if at, err := time.Parse(time.RFC3339Nano, stamp); err == nil {
-		return at.Local().Format("01-02 15:04:05")
+// formatTime converts an RFC 3339 timestamp to a short local time, or to "-" if it is empty or
+// invalid.
+func formatTime(timestamp string) string {
+	if t, err := time.Parse(time.RFC3339Nano, timestamp); err == nil {
+		return t.Local().Format("01-02 15:04:05")
 	}
 	return "-"
 }
--- a/internal/node/batch/cli/job.go
+++ b/internal/node/batch/cli/job.go
@@ -11,83 +11,83 @@
 	"ospreybend/drmaa/client"
 )
 
-// InSession is the flags of all commands on jobs.
+// InSession has the flags of all commands on the jobs of a session.
 type InSession struct {
 	Server  `embed:""`
-	Session string `help:"The job session." short:"s" default:"default" env:"OSPREYBEND_SESSION"`
+	Session string `help:"Name of the job session." short:"s" default:"default" env:"OSPREYBEND_SESSION"`
 }
 
-func (f *InSession) open(env *Env) (*client.Session, error) {
-	c, err := f.client(env)
+func (f *InSession) openSession(env *Env) (*client.Session, error) {
+	c, err := f.newClient(env)
 	if err != nil {
 		return nil, err
 	}
 	return c.Session(f.Session), nil
 }
 
-// Job is the commands on jobs.
+// Job groups the commands on jobs.
 type Job struct {
 	Submit    Submit    `cmd:"" help:"Submit a job."`
 	Bulk      Bulk      `cmd:"" help:"Submit a job array."`
 	List      List      `cmd:"" help:"List jobs, newest first."`
 	Info      Info      `cmd:"" help:"Show a job or an array."`
 	Wait      Wait      `cmd:"" help:"Wait for the start or the end of a job, or the end of an array."`
-	Hold      Hold      `cmd:"" help:"Keep a waiting job, or an array's, from being sent."`
-	Release   Release   `cmd:"" help:"Let held jobs go on."`
-	Terminate Terminate `cmd:"" help:"End jobs."`
-	Reap      Reap      `cmd:"" help:"Forget ended jobs."`
+	Hold      Hold      `cmd:"" help:"Hold queued jobs: they are not sent until they are released."`
+	Release   Release   `cmd:"" help:"Release held jobs."`
+	Terminate Terminate `cmd:"" help:"Terminate jobs."`
+	Reap      Reap      `cmd:"" help:"Delete the records of ended jobs."`
 	Events    Events    `cmd:"" help:"Follow the session's events."`
-	Queues    Queues    `cmd:"" help:"List the classes and the prep workers."`
+	Queues    Queues    `cmd:"" help:"List the job classes and the prep workers."`
 }
 
-// Template is the flags that make a job template.
+// Template has the arguments and flags that make up a job template.
 type Template struct {
-	Class      string        `arg:"" help:"The class of the job."`
-	Args       []string      `arg:"" optional:"" help:"The further parts of its path."`
-	Input      string        `help:"A file with the input; - is standard input." short:"i"`
-	Name       string        `help:"The job's name."`
-	Priority   int           `help:"Higher goes first."`
-	Slots      float64       `help:"Slots that it takes."`
-	Start      string        `help:"Not before this time (RFC 3339)."`
-	Deadline   string        `help:"Not after this time (RFC 3339)."`
-	Within     time.Duration `help:"Not after so long from now."`
-	Hold       bool          `help:"Wait for a release."`
-	Cost       float64       `help:"Seconds of work, roughly."`
-	Accounting string        `help:"An account, for your own use."`
-	Key        string        `help:"The client key: submitted again under it, the job stays one."`
+	Class      string        `arg:"" help:"Class of the job."`
+	Args       []string      `arg:"" optional:"" help:"Further path segments of the request."`
+	Input      string        `help:"File with the input; - reads standard input." short:"i"`
+	Name       string        `help:"Name of the job."`
+	Priority   int           `help:"Priority; jobs with a higher one are sent first."`
+	Slots      float64       `help:"Number of slots that the job occupies."`
+	Start      string        `help:"Earliest start time (RFC 3339)."`
+	Deadline   string        `help:"Deadline (RFC 3339)."`
+	Within     time.Duration `help:"Deadline as a duration from now."`
+	Hold       bool          `help:"Submit the job held; it is not sent before it is released."`
+	Cost       float64       `help:"Estimated run time in seconds."`
+	Accounting string        `help:"Accounting ID; stored with the job, not interpreted."`
+	Key        string        `help:"Client key; submitting again with the same key creates no second job."`
 }
 
-func (t *Template) template() (drmaa.JobTemplate, error) {
-	out := drmaa.JobTemplate{RemoteCommand: t.Class, Args: t.Args, JobName: t.Name, Priority: t.Priority, MinSlots: t.Slots,
+func (t *Template) jobTemplate() (drmaa.JobTemplate, error) {
+	template := drmaa.JobTemplate{RemoteCommand: t.Class, Args: t.Args, JobName: t.Name, Priority: t.Priority, MinSlots: t.Slots,
 		StartTime: t.Start, DeadlineTime: t.Deadline, Deadline: t.Within.Seconds(), SubmitAsHold: t.Hold, CostHint: t.Cost,
 		AccountingID: t.Accounting, ClientKey: t.Key}
-	var text []byte
+	var input []byte
 	var err error
 	switch t.Input {
 	case "":
 	case "-":
-		text, err = io.ReadAll(io.LimitReader(os.Stdin, drmaa.MaxInputBytes+1))
+		input, err = io.ReadAll(io.LimitReader(os.Stdin, drmaa.MaxInputBytes+1))
 	default:
-		text, err = os.ReadFile(t.Input)
+		input, err = os.ReadFile(t.Input)
 	}
-	out.Input = string(text)
-	return out, err
+	template.Input = string(input)
+	return template, err
 }
 
 // Submit submits a job.
 type Submit struct {
 	InSession `embed:""`
 	Template  `embed:""`
-	Wait      bool `help:"Wait for its end." short:"w"`
+	Wait      bool `help:"Wait until the job has ended." short:"w"`
 }
 
-// Run runs the command.
+// Run executes the command "job submit".
 func (c *Submit) Run(env *Env) error {
-	s, err := c.open(env)
+	s, err := c.openSession(env)
 	if err != nil {
 		return err
 	}
-	t, err := c.template()
+	t, err := c.jobTemplate()
 	if err != nil {
 		return err
 	}
@@ -98,11 +98,13 @@
 	if !c.Wait {
 		return env.Show(j, func(w io.Writer) { fmt.Fprintln(w, j.ID) })
 	}
-	return waitFor(env, s, j.ID, client.Terminated)
+	return waitAndShow(env, s, j.ID, client.Terminated)
 }
 
-func waitFor(env *Env, s *client.Session, id, what string) error {
-	j, err := s.Wait(env.Ctx, id, what)
+// waitAndShow waits until the job has started or ended, as event says (client.Started or
+// client.Terminated), and shows it. It returns errJobFailed if the job ended as FAILED.
+func waitAndShow(env *Env, s *client.Session, id, event string) error {
+	j, err := s.Wait(env.Ctx, id, event)
 	if err != nil {
 		return err
 	}
@@ -110,7 +112,7 @@
 		return err
 	}
 	if j.State == drmaa.Failed {
-		return errFailed
+		return errJobFailed
 	}
 	return nil
 }
@@ -119,20 +121,20 @@
 type Bulk struct {
 	InSession   `embed:""`
 	Template    `embed:""`
-	Begin       int  `help:"First index." default:"1"`
-	End         int  `help:"Last index." required:""`
-	Step        int  `help:"Step between indexes." default:"1"`
-	MaxParallel int  `help:"So many of its jobs at once; 0: no limit."`
-	Wait        bool `help:"Wait for the end of all." short:"w"`
+	Begin       int  `help:"First index of the array." default:"1"`
+	End         int  `help:"Last index of the array." required:""`
+	Step        int  `help:"Difference between consecutive indexes." default:"1"`
+	MaxParallel int  `help:"Limit on the jobs of the array that run at once; 0: no limit."`
+	Wait        bool `help:"Wait until all jobs of the array have ended." short:"w"`
 }
 
-// Run runs the command.
+// Run executes the command "job bulk".
 func (c *Bulk) Run(env *Env) error {
-	s, err := c.open(env)
+	s, err := c.openSession(env)
 	if err != nil {
 		return err
 	}
-	t, err := c.template()
+	t, err := c.jobTemplate()
 	if err != nil {
 		return err
 	}
@@ -152,52 +154,52 @@
 // List lists jobs.
 type List struct {
 	InSession `embed:""`
-	State     []drmaa.State `help:"Only in these states."`
-	Category  string        `help:"Only of this class."`
-	Name      string        `help:"Only of this name."`
-	Array     string        `help:"Only of this array."`
-	Most      int           `help:"So many at most; 0: all." default:"50"`
+	State     []drmaa.State `help:"Only jobs in these states."`
+	Category  string        `help:"Only jobs of this class."`
+	Name      string        `help:"Only jobs with this name."`
+	Array     string        `help:"Only jobs of the array with this ID."`
+	Most      int           `help:"Limit on the number of jobs listed; 0: all." default:"50"`
 }
 
-// Run runs the command.
+// Run executes the command "job list".
 func (c *List) Run(env *Env) error {
-	s, err := c.open(env)
+	s, err := c.openSession(env)
 	if err != nil {
 		return err
 	}
-	f := drmaa.Filter{States: c.State, Category: c.Category, Name: c.Name, Array: c.Array}
-	all := []*drmaa.Job{}
-	for j, err := range s.Jobs(env.Ctx, f) {
+	filter := drmaa.Filter{States: c.State, Category: c.Category, Name: c.Name, Array: c.Array}
+	jobs := []*drmaa.Job{}
+	for j, err := range s.Jobs(env.Ctx, filter) {
 		if err != nil {
 			return err
 		}
-		if all = append(all, j); len(all) == c.Most {
+		if jobs = append(jobs, j); len(jobs) == c.Most {
 			break
 		}
 	}
-	return env.Show(all, func(w io.Writer) {
+	return env.Show(jobs, func(w io.Writer) {
 		fmt.Fprintln(w, "ID\tSTATE\tCLASS\tNAME\tSUBMITTED\tFINISHED\tREASON")
-		for _, j := range all {
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", j.ID, j.State, j.Queue, j.Name, shortTime(j.Submitted), shortTime(j.Finished), j.SubState)
+		for _, j := range jobs {
+			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", j.ID, j.State, j.Queue, j.Name, formatTime(j.Submitted), formatTime(j.Finished), j.SubState)
 		}
 	})
 }
 
-// OneJob is the argument of commands on a job or an array.
+// OneJob has the arguments of commands on one job or one array.
 type OneJob struct {
-	ID    string `arg:"" help:"The job's id, or the array's."`
-	Array bool   `help:"It is an array's id." short:"a"`
+	ID    string `arg:"" help:"ID of the job, or of the array."`
+	Array bool   `help:"The ID is that of an array." short:"a"`
 }
 
-// Info shows a job.
+// Info shows a job or an array.
 type Info struct {
 	InSession `embed:""`
 	OneJob    `embed:""`
 }
 
-// Run runs the command.
+// Run executes the command "job info".
 func (c *Info) Run(env *Env) error {
-	s, err := c.open(env)
+	s, err := c.openSession(env)
 	if err != nil {
 		return err
 	}
@@ -247,17 +249,17 @@
 	})
 }
 
-// Wait waits for a job.
+// Wait waits for a job or an array.
 type Wait struct {
 	InSession `embed:""`
 	OneJob    `embed:""`
-	Started   bool          `help:"Its start is enough."`
-	Timeout   time.Duration `help:"Give up after so long; 0: never."`
+	Started   bool          `help:"Wait only until the job has started."`
+	Timeout   time.Duration `help:"Longest time to wait; 0: no limit."`
 }
 
-// Run runs the command.
+// Run executes the command "job wait".
 func (c *Wait) Run(env *Env) error {
-	s, err := c.open(env)
+	s, err := c.openSession(env)
 	if err != nil {
 		return err
 	}
@@ -274,7 +276,7 @@
 		}
 		return env.showArray(a)
 	case c.Started:
-		return waitFor(env, s, c.ID, client.Started)
+		return waitAndShow(env, s, c.ID, client.Started)
 	}
-	return waitFor(env, s, c.ID, client.Terminated)
+	return waitAndShow(env, s, c.ID, client.Terminated)
 }
--- a/internal/node/batch/cli/manage.go
+++ b/internal/node/batch/cli/manage.go
@@ -8,13 +8,13 @@
 	"ospreybend/drmaa/client"
 )
 
-// Session is the commands on job sessions.
+// Session groups the commands on job sessions.
 type Session struct {
 	List    SessionList    `cmd:"" help:"List the job sessions."`
-	Create  SessionCreate  `cmd:"" help:"Create a session."`
-	Open    SessionOpen    `cmd:"" help:"Open a session that was closed."`
-	Close   SessionClose   `cmd:"" help:"Close a session; its jobs go on."`
-	Destroy SessionDestroy `cmd:"" help:"End a session with all its jobs."`
+	Create  SessionCreate  `cmd:"" help:"Create a job session."`
+	Open    SessionOpen    `cmd:"" help:"Open a closed job session."`
+	Close   SessionClose   `cmd:"" help:"Close a job session; its jobs continue."`
+	Destroy SessionDestroy `cmd:"" help:"Destroy a job session: terminate its unfinished jobs and delete its records."`
 }
 
 // SessionList lists sessions.
@@ -22,39 +22,41 @@
 	Server `embed:""`
 }
 
-// Run runs the command.
+// Run executes the command "session list".
 func (c *SessionList) Run(env *Env) error {
-	cl, err := c.client(env)
+	cl, err := c.newClient(env)
 	if err != nil {
 		return err
 	}
-	all, err := cl.Sessions(env.Ctx)
+	sessions, err := cl.Sessions(env.Ctx)
 	if err != nil {
 		return err
 	}
-	return env.Show(all, func(w io.Writer) {
+	return env.Show(sessions, func(w io.Writer) {
 		fmt.Fprintln(w, "SESSION\tSTATE\tUNFINISHED")
-		for _, s := range all {
+		for _, s := range sessions {
 			fmt.Fprintf(w, "%s\t%s\t%d\n", s.Name, s.State, s.Unfinished)
 		}
 	})
 }
 
-// Named is a session by its name.
+// Named has the arguments of commands on one session.
 type Named struct {
 	Server `embed:""`
-	Name   string `arg:"" help:"The session's name."`
+	Name   string `arg:"" help:"Name of the session."`
 }
 
-func (c *Named) run(env *Env, done string, call func(cl *client.Client) error) error {
-	cl, err := c.client(env)
+// runSessionCall makes a call on the session, and if it succeeds shows newState as the session's
+// state.
+func (c *Named) runSessionCall(env *Env, newState string, call func(cl *client.Client) error) error {
+	cl, err := c.newClient(env)
 	if err != nil {
 		return err
 	}
 	if err := call(cl); err != nil {
 		return err
 	}
-	return env.Show(drmaa.Session{Name: c.Name, State: done}, func(w io.Writer) { fmt.Fprintf(w, "%s: %s\n", c.Name, done) })
+	return env.Show(drmaa.Session{Name: c.Name, State: newState}, func(w io.Writer) { fmt.Fprintf(w, "%s: %s\n", c.Name, newState) })
 }
 
 // SessionCreate creates a session.
@@ -62,9 +64,9 @@
 	Named `embed:""`
 }
 
-// Run runs the command.
+// Run executes the command "session create".
 func (c *SessionCreate) Run(env *Env) error {
-	return c.run(env, "open", func(cl *client.Client) error { _, err := cl.CreateSession(env.Ctx, c.Name); return err })
+	return c.runSessionCall(env, "open", func(cl *client.Client) error { _, err := cl.CreateSession(env.Ctx, c.Name); return err })
 }
 
 // SessionOpen opens a session.
@@ -72,9 +74,9 @@
 	Named `embed:""`
 }
 
-// Run runs the command.
+// Run executes the command "session open".
 func (c *SessionOpen) Run(env *Env) error {
-	return c.run(env, "open", func(cl *client.Client) error { _, err := cl.OpenSession(env.Ctx, c.Name); return err })
+	return c.runSessionCall(env, "open", func(cl *client.Client) error { _, err := cl.OpenSession(env.Ctx, c.Name); return err })
 }
 
 // SessionClose closes a session.
@@ -82,9 +84,9 @@
 	Named `embed:""`
 }
 
-// Run runs the command.
+// Run executes the command "session close".
 func (c *SessionClose) Run(env *Env) error {
-	return c.run(env, "closed", func(cl *client.Client) error { return cl.Session(c.Name).Close(env.Ctx) })
+	return c.runSessionCall(env, "closed", func(cl *client.Client) error { return cl.Session(c.Name).Close(env.Ctx) })
 }
 
 // SessionDestroy destroys a session.
@@ -92,28 +94,29 @@
 	Named `embed:""`
 }
 
-// Run runs the command.
+// Run executes the command "session destroy".
 func (c *SessionDestroy) Run(env *Env) error {
-	return c.run(env, "destroyed", func(cl *client.Client) error { return cl.Session(c.Name).Destroy(env.Ctx) })
+	return c.runSessionCall(env, "destroyed", func(cl *client.Client) error { return cl.Session(c.Name).Destroy(env.Ctx) })
 }
 
-// Tenant is the commands of the administration.
+// Tenant groups the commands of the administration API.
 type Tenant struct {
 	List   TenantList   `cmd:"" help:"List the tenants."`
-	Create TenantCreate `cmd:"" help:"Make a tenant; shows its token, this once."`
-	Quota  TenantQuota  `cmd:"" help:"Change how many unfinished jobs a tenant may have."`
-	Rotate TenantRotate `cmd:"" help:"Give a tenant a new token; the old one is void."`
-	Remove TenantRemove `cmd:"" help:"Lock a tenant out; its jobs end as they would."`
-	Queue  TenantQueue  `cmd:"" help:"Show the queue and its window."`
+	Create TenantCreate `cmd:"" help:"Create a tenant and show its token, which cannot be shown again."`
+	Quota  TenantQuota  `cmd:"" help:"Change the limit on a tenant's unfinished jobs."`
+	Rotate TenantRotate `cmd:"" help:"Replace the token of a tenant; the old one becomes invalid."`
+	Remove TenantRemove `cmd:"" help:"Remove a tenant; its token becomes invalid, and its submitted jobs run to their end."`
+	Queue  TenantQueue  `cmd:"" help:"Show the job queue and its dispatch window."`
 }
 
-// AdminServer is where the administration is, and who asks.
+// AdminServer has the flags of all commands that call the administration API: its address and
+// the token.
 type AdminServer struct {
-	AdminURL       string `help:"The administration's address." default:"http://127.0.0.1:8091" env:"OSPREYBEND_ADMIN_URL"`
-	AdminTokenFile string `help:"A file with its token; else OSPREYBEND_ADMIN_TOKEN has it." type:"path" env:"OSPREYBEND_ADMIN_TOKEN_FILE"`
+	AdminURL       string `help:"Address of the administration API." default:"http://127.0.0.1:8091" env:"OSPREYBEND_ADMIN_URL"`
+	AdminTokenFile string `help:"File with the administration token. Without it the token is read from OSPREYBEND_ADMIN_TOKEN." type:"path" env:"OSPREYBEND_ADMIN_TOKEN_FILE"`
 }
 
-func (s *AdminServer) admin(env *Env) (*client.Admin, error) {
+func (s *AdminServer) newAdminClient(env *Env) (*client.Admin, error) {
 	token, err := env.Token(s.AdminTokenFile, "OSPREYBEND_ADMIN_TOKEN")
 	if err != nil {
 		return nil, err
@@ -121,24 +124,26 @@
 	return client.NewAdmin(s.AdminURL, token, client.WithMaxAttempts(5))
 }
 
-func (s *AdminServer) show(env *Env, call func(a *client.Admin) ([]client.Tenant, error)) error {
-	a, err := s.admin(env)
+// showTenants makes a call to the administration API and shows the tenants that it returns.
+func (s *AdminServer) showTenants(env *Env, call func(a *client.Admin) ([]client.Tenant, error)) error {
+	a, err := s.newAdminClient(env)
 	if err != nil {
 		return err
 	}
-	all, err := call(a)
+	tenants, err := call(a)
 	if err != nil {
 		return err
 	}
-	return env.Show(all, func(w io.Writer) {
+	return env.Show(tenants, func(w io.Writer) {
 		fmt.Fprintln(w, "TENANT\tQUOTA\tUNFINISHED\tTOKEN")
-		for _, t := range all {
+		for _, t := range tenants {
 			fmt.Fprintf(w, "%s\t%d\t%d\t%s\n", t.Name, t.Quota, t.Unfinished, t.Token)
 		}
 	})
 }
 
-func single(t *client.Tenant, err error) ([]client.Tenant, error) {
+// oneTenant converts the result of a call on one tenant to that of a list.
+func oneTenant(t *client.Tenant, err error) ([]client.Tenant, error) {
 	if err != nil {
 		return nil, err
 	}
@@ -150,44 +155,44 @@
 	AdminServer `embed:""`
 }
 
-// Run runs the command.
+// Run executes the command "tenant list".
 func (c *TenantList) Run(env *Env) error {
-	return c.show(env, func(a *client.Admin) ([]client.Tenant, error) { return a.Tenants(env.Ctx) })
+	return c.showTenants(env, func(a *client.Admin) ([]client.Tenant, error) { return a.Tenants(env.Ctx) })
 }
 
-// TenantCreate makes a tenant.
+// TenantCreate creates a tenant.
 type TenantCreate struct {
 	AdminServer `embed:""`
 	Name        string `arg:""`
-	Quota       int    `help:"Unfinished jobs at most." default:"1000"`
+	Quota       int    `help:"Limit on unfinished jobs." default:"1000"`
 }
 
-// Run runs the command.
+// Run executes the command "tenant create".
 func (c *TenantCreate) Run(env *Env) error {
-	return c.show(env, func(a *client.Admin) ([]client.Tenant, error) { return single(a.Create(env.Ctx, c.Name, c.Quota)) })
+	return c.showTenants(env, func(a *client.Admin) ([]client.Tenant, error) { return oneTenant(a.Create(env.Ctx, c.Name, c.Quota)) })
 }
 
-// TenantQuota changes a quota.
+// TenantQuota changes the limit on a tenant's unfinished jobs.
 type TenantQuota struct {
 	AdminServer `embed:""`
 	Name        string `arg:""`
 	Quota       int    `arg:""`
 }
 
-// Run runs the command.
+// Run executes the command "tenant quota".
 func (c *TenantQuota) Run(env *Env) error {
-	return c.show(env, func(a *client.Admin) ([]client.Tenant, error) { return single(a.SetQuota(env.Ctx, c.Name, c.Quota)) })
+	return c.showTenants(env, func(a *client.Admin) ([]client.Tenant, error) { return oneTenant(a.SetQuota(env.Ctx, c.Name, c.Quota)) })
 }
 
-// TenantRotate gives a new token.
+// TenantRotate replaces the token of a tenant.
 type TenantRotate struct {
 	AdminServer `embed:""`
 	Name        string `arg:""`
 }
 
-// Run runs the command.
+// Run executes the command "tenant rotate".
 func (c *TenantRotate) Run(env *Env) error {
-	return c.show(env, func(a *client.Admin) ([]client.Tenant, error) { return single(a.Rotate(env.Ctx, c.Name)) })
+	return c.showTenants(env, func(a *client.Admin) ([]client.Tenant, error) { return oneTenant(a.Rotate(env.Ctx, c.Name)) })
 }
 
 // TenantRemove removes a tenant.
@@ -196,21 +201,21 @@
 	Name        string `arg:""`
 }
 
-// Run runs the command.
+// Run executes the command "tenant remove".
 func (c *TenantRemove) Run(env *Env) error {
-	return c.show(env, func(a *client.Admin) ([]client.Tenant, error) {
+	return c.showTenants(env, func(a *client.Admin) ([]client.Tenant, error) {
 		return []client.Tenant{{Name: c.Name}}, a.Remove(env.Ctx, c.Name)
 	})
 }
 
-// TenantQueue shows the queue.
+// TenantQueue shows the state of the job queue and of its dispatch window.
 type TenantQueue struct {
 	AdminServer `embed:""`
 }
 
-// Run runs the command.
+// Run executes the command "tenant queue".
 func (c *TenantQueue) Run(env *Env) error {
-	a, err := c.admin(env)
+	a, err := c.newAdminClient(env)
 	if err != nil {
 		return err
 	}
--- a/internal/node/batch/cli/monitoring.go
+++ b/internal/node/batch/cli/monitoring.go
@@ -7,28 +7,28 @@
 	"ospreybend/drmaa"
 )
 
-// Events follows events.
+// Events follows the events of a session.
 type Events struct {
 	InSession `embed:""`
-	Cursor    string `help:"Go on after this cursor; 'oldest' is the oldest kept; else from now."`
+	Cursor    string `help:"Start after this cursor; 'oldest' starts at the oldest retained event. Without it, start now."`
 }
 
-// Run runs the command.
+// Run executes the command "job events".
 func (c *Events) Run(env *Env) error {
-	s, err := c.open(env)
+	s, err := c.openSession(env)
 	if err != nil {
 		return err
 	}
-	for got, err := range s.Events(env.Ctx, c.Cursor) {
+	for events, err := range s.Events(env.Ctx, c.Cursor) {
 		if err != nil {
 			return err
 		}
-		if err := env.Show(got, func(w io.Writer) {
-			if got.Missed != 0 {
-				fmt.Fprintf(w, "missed %d events\n", got.Missed)
+		if err := env.Show(events, func(w io.Writer) {
+			if events.Missed != 0 {
+				fmt.Fprintf(w, "missed %d events\n", events.Missed)
 			}
-			for _, v := range got.Events {
-				fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s%s\n", shortTime(v.Time), v.Event, v.Job, v.State, v.SubState, v.Machine)
+			for _, e := range events.Events {
+				fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s%s\n", formatTime(e.Time), e.Event, e.Job, e.State, e.SubState, e.Machine)
 			}
 		}); err != nil {
 			return err
@@ -37,20 +37,20 @@
 	return nil
 }
 
-// capacity is the JSON output of Queues.
-type capacity struct {
+// queuesResult is the JSON result of Queues.
+type queuesResult struct {
 	Machines []drmaa.Machine `json:"machines"`
 	Queues   []drmaa.Queue   `json:"queues"`
 }
 
-// Queues lists classes and prep workers.
+// Queues lists the job classes and the prep workers.
 type Queues struct {
 	Server `embed:""`
 }
 
-// Run runs the command.
+// Run executes the command "job queues".
 func (c *Queues) Run(env *Env) error {
-	cl, err := c.client(env)
+	cl, err := c.newClient(env)
 	if err != nil {
 		return err
 	}
@@ -62,7 +62,7 @@
 	if err != nil {
 		return err
 	}
-	return env.Show(capacity{Machines: machines, Queues: queues}, func(w io.Writer) {
+	return env.Show(queuesResult{Machines: machines, Queues: queues}, func(w io.Writer) {
 		fmt.Fprintln(w, "CLASS\tRUNS ONCE\tWAITING\tHELD\tRUNNING")
 		for _, q := range queues {
 			fmt.Fprintf(w, "%s\t%v\t%d\t%d\t%d\n", q.Name, q.NonIdempotent, q.Waiting, q.Held, q.Running)
--- a/internal/node/batch/cli/store.go
+++ b/internal/node/batch/cli/store.go
@@ -7,53 +7,53 @@
 	"ospreybend/drmaa"
 )
 
-// Store is the commands on the store of record of a node that runs.
+// Store groups the commands on the store of record of a running node.
 type Store struct {
-	Undecided StoreUndecided `cmd:"" help:"List the bookings that may have run, and that nobody has settled."`
-	Settle    StoreSettle    `cmd:"" help:"Record what was found out of such a booking, once."`
+	Undecided StoreUndecided `cmd:"" help:"List the bookings for which it is unknown whether they ran, and which are not settled."`
+	Settle    StoreSettle    `cmd:"" help:"Record whether an undecided booking ran; possible once per booking."`
 }
 
-// StoreUndecided lists undecided bookings.
+// StoreUndecided lists the unsettled bookings that may have run.
 type StoreUndecided struct {
 	AdminServer `embed:""`
 }
 
-// Run runs the command.
+// Run executes the command "store undecided".
 func (c *StoreUndecided) Run(env *Env) error {
-	a, err := c.admin(env)
+	a, err := c.newAdminClient(env)
 	if err != nil {
 		return err
 	}
-	all := []*drmaa.Job{}
+	jobs := []*drmaa.Job{}
 	for j, err := range a.Undecided(env.Ctx) {
 		if err != nil {
 			return err
 		}
-		all = append(all, j)
+		jobs = append(jobs, j)
 	}
-	return env.Show(all, func(w io.Writer) {
+	return env.Show(jobs, func(w io.Writer) {
 		fmt.Fprintln(w, "ID\tTENANT\tCLASS\tNAME\tSUBMITTED\tWENT TO\tREASON")
-		for _, j := range all {
-			to := "-"
+		for _, j := range jobs {
+			worker := "-"
 			if n := len(j.Steps); n > 0 {
-				to = j.Steps[n-1].Machine
+				worker = j.Steps[n-1].Machine
 			}
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", j.ID, j.Owner, j.Queue, j.Name, shortTime(j.Submitted), to, j.SubState)
+			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", j.ID, j.Owner, j.Queue, j.Name, formatTime(j.Submitted), worker, j.SubState)
 		}
 	})
 }
 
-// StoreSettle records the decision on an undecided job.
+// StoreSettle records whether an undecided booking ran.
 type StoreSettle struct {
 	AdminServer `embed:""`
-	ID          string `arg:"" help:"The job's id."`
-	Ran         bool   `help:"It has run; without this it has not." negatable:""`
-	Reason      string `help:"How that was found out." required:""`
+	ID          string `arg:"" help:"ID of the job."`
+	Ran         bool   `help:"The booking ran; without this flag it is recorded as not run." negatable:""`
+	Reason      string `help:"How it was determined whether the booking ran." required:""`
 }
 
-// Run runs the command.
+// Run executes the command "store settle".
 func (c *StoreSettle) Run(env *Env) error {
-	a, err := c.admin(env)
+	a, err := c.newAdminClient(env)
 	if err != nil {
 		return err
 	}
