--- a/internal/node/simwire/settings.go
+++ b/internal/node/simwire/settings.go
@@ -10,25 +10,25 @@
 	"ospreybend/balance"
 )
 
-// maxItems is the most elements of a list of objects in the settings.
-const maxItems = 4096
+// maxObjects limits the length of a list of objects in the settings.
+const maxObjects = 4096
 
-// fieldNames are the report's fields by name.
-var fieldNames = map[string]balance.ReportField{
+// reportFields maps the names of load report values to fields.
+var reportFields = map[string]balance.ReportField{
 	"outstanding": balance.FieldOutstanding, "backlog": balance.FieldBacklog,
 	"utilization": balance.FieldUtilization, "recent_ms": balance.FieldServiceMS,
 	"throughput": balance.FieldThroughput, "errors_per_s": balance.FieldErrors,
 }
 
-// extraNames are the meanings of the report's fields x0 and x1.
-var extraNames = map[string]balance.ReportField{
+// extraReportFields maps the meanings that settings can give to the report values x0 and x1 to fields.
+var extraReportFields = map[string]balance.ReportField{
 	"free_slots": balance.FieldFreeSlots, "free_memory": balance.FieldFreeMemory,
 }
 
-// ParseSettings reads the options of an Attach: lines of key=value. Unknown keys are ignored;
-// absent ones have the value that demands least of the deployment.
+// ParseSettings parses the options of an Attach: lines of key=value. Unknown keys are ignored.
+// Absent keys get the default that requires the fewest features of the deployment.
 func ParseSettings(options string) (balance.Settings, error) {
-	p := settingsReader{values: map[string]string{}}
+	r := settingsReader{values: map[string]string{}}
 	for i, line := range strings.Split(options, "\n") {
 		line = strings.TrimRight(line, "\r")
 		if line == "" {
@@ -38,96 +38,103 @@
 		if !ok {
 			return balance.Settings{}, fmt.Errorf("settings line %d: no '=' in %q", i+1, line)
 		}
-		p.values[key] = value
+		r.values[key] = value
 	}
-	return SettingsOf(p.values)
+	return SettingsOf(r.values)
 }
 
-// SettingsOf reads settings by their full names, such as "bounds.maxAttempts".
+// SettingsOf parses settings that are given by their full names, such as "bounds.maxAttempts".
 func SettingsOf(values map[string]string) (balance.Settings, error) {
-	p := settingsReader{values: values}
-	s := p.settings()
-	return s, p.err
+	r := settingsReader{values: values}
+	s := r.settings()
+	return s, r.err
 }
 
-// settingsReader reads typed values by key. err is that of the first invalid one.
+// settingsReader reads typed values by key. err is the error of the first invalid value.
 type settingsReader struct {
 	values map[string]string
 	err    error
 }
 
-func (p *settingsReader) fail(key, value string) {
-	if p.err == nil {
-		p.err = fmt.Errorf("setting %s: cannot read %q", key, value)
+// fail records that a value is not what the key requires.
+func (r *settingsReader) fail(key, value, required string) {
+	if r.err == nil {
+		r.err = fmt.Errorf("setting %s: %q is not %s", key, value, required)
 	}
 }
 
-func (p *settingsReader) number(key string, absent float64) float64 {
-	v, ok := p.values[key]
+// number reads a finite number, or returns fallback if the key is absent or empty.
+func (r *settingsReader) number(key string, fallback float64) float64 {
+	v, ok := r.values[key]
 	if !ok || v == "" {
-		return absent
+		return fallback
 	}
 	f, err := strconv.ParseFloat(v, 64)
 	if err != nil || math.IsNaN(f) || math.IsInf(f, 0) {
-		p.fail(key, v)
-		return absent
+		r.fail(key, v, "a finite number")
+		return fallback
 	}
 	return f
 }
 
-func (p *settingsReader) integer(key string, absent int) int {
-	f := p.number(key, float64(absent))
+// integer reads a whole number of 32 bits, or returns fallback if the key is absent or empty.
+func (r *settingsReader) integer(key string, fallback int) int {
+	f := r.number(key, float64(fallback))
 	if f != math.Trunc(f) || math.Abs(f) > math.MaxInt32 {
-		p.fail(key, p.values[key])
-		return absent
+		r.fail(key, r.values[key], "a whole number of 32 bits")
+		return fallback
 	}
 	return int(f)
 }
 
-func (p *settingsReader) flag(key string) bool {
-	switch v := p.values[key]; v {
+// boolean reads true or false; false if the key is absent or empty.
+func (r *settingsReader) boolean(key string) bool {
+	switch v := r.values[key]; v {
 	case "true":
 		return true
 	case "", "false":
 		return false
 	default:
-		p.fail(key, v)
+		r.fail(key, v, "true or false")
 		return false
 	}
 }
 
-func (p *settingsReader) duration(key string) time.Duration {
-	f := p.number(key, 0)
+// duration reads a time in microseconds; 0 if the key is absent or empty.
+func (r *settingsReader) duration(key string) time.Duration {
+	f := r.number(key, 0)
 	if f < 0 || f > float64(math.MaxInt64/1000) {
-		p.fail(key, p.values[key])
+		r.fail(key, r.values[key], "a time in microseconds of at least 0")
 		return 0
 	}
 	return time.Duration(f) * time.Microsecond
 }
 
-func (p *settingsReader) list(key string) []string {
-	if p.values[key] == "" {
+// list reads a comma-separated list.
+func (r *settingsReader) list(key string) []string {
+	if r.values[key] == "" {
 		return nil
 	}
-	return strings.Split(p.values[key], ",")
+	return strings.Split(r.values[key], ",")
 }
 
-// listNumber reads the i-th number of a list, or returns absent if the list is shorter.
-func (p *settingsReader) listNumber(key string, i int, absent float64) float64 {
-	items := p.list(key)
+// numberAt reads the i-th number of a list, or returns fallback if the list is shorter.
+func (r *settingsReader) numberAt(key string, i int, fallback float64) float64 {
+	items := r.list(key)
 	if i >= len(items) {
-		return absent
+		return fallback
 	}
 	f, err := strconv.ParseFloat(items[i], 64)
 	if err != nil || math.IsNaN(f) || math.IsInf(f, 0) {
-		p.fail(key, items[i])
-		return absent
+		r.fail(key, items[i], "a finite number")
+		return fallback
 	}
 	return f
 }
 
-func (p *settingsReader) choice(key string, words ...string) int {
-	v, ok := p.values[key]
+// choice returns the index in words of the value; 0 if the key is absent or empty.
+func (r *settingsReader) choice(key string, words ...string) int {
+	v, ok := r.values[key]
 	if !ok || v == "" {
 		return 0
 	}
@@ -136,117 +143,119 @@
 			return i
 		}
 	}
-	p.fail(key, v)
+	r.fail(key, v, "one of "+strings.Join(words, ", "))
 	return 0
 }
 
-func (p *settingsReader) count(key string) int {
-	n := p.integer(key, 0)
-	if n < 0 || n > maxItems {
-		p.fail(key, p.values[key])
+// count reads the length of a list of objects.
+func (r *settingsReader) count(key string) int {
+	n := r.integer(key, 0)
+	if n < 0 || n > maxObjects {
+		r.fail(key, r.values[key], fmt.Sprintf("a count from 0 to %d", maxObjects))
 		return 0
 	}
 	return n
 }
 
-func (p *settingsReader) settings() balance.Settings {
+func (r *settingsReader) settings() balance.Settings {
 	s := balance.Settings{
-		Balancers:          p.integer("balancers", 1),
-		Ordinal:            p.integer("ordinal", 0),
-		Zone:               p.integer("zone", 0),
-		Resolution:         p.duration("resolutionUs"),
-		SubscribeDiscovery: p.choice("discovery", "push", "ask") == 1,
-		ValueByWork:        p.choice("countedBy", "request", "work") == 1,
-		ReportsStart:       p.flag("domain.tellsStart"),
-		QueueOrder:         balance.QueueOrder(p.choice("domain.queueOrder", "fifo", "backfill", "priority")),
-		OverShareValue:     p.number("overShareWorth", 0),
-		Limits:             p.limits(),
-		Rules:              p.rules(),
+		Balancers:          r.integer("balancers", 1),
+		Ordinal:            r.integer("ordinal", 0),
+		Zone:               r.integer("zone", 0),
+		Resolution:         r.duration("resolutionUs"),
+		SubscribeDiscovery: r.choice("discovery", "push", "ask") == 1,
+		ValueByWork:        r.choice("countedBy", "request", "work") == 1,
+		ReportsStart:       r.boolean("domain.tellsStart"),
+		QueueOrder:         balance.QueueOrder(r.choice("domain.queueOrder", "fifo", "backfill", "priority")),
+		OverShareValue:     r.number("overShareWorth", 0),
+		Limits:             r.limits(),
+		Rules:              r.rules(),
 		Costs: balance.Costs{
-			CrossZone: p.number("costs.crossZone", 0),
-			LateFail:  p.number("costs.lateFail", 0),
-			Waste:     p.number("costs.waste", 0),
-			Probe:     p.number("costs.probe", 0),
-			Message:   p.number("costs.peer", 0),
-			Handshake: p.number("costs.handshake", 0),
+			CrossZone: r.number("costs.crossZone", 0),
+			LateFail:  r.number("costs.lateFail", 0),
+			Waste:     r.number("costs.waste", 0),
+			Probe:     r.number("costs.probe", 0),
+			Message:   r.number("costs.peer", 0),
+			Handshake: r.number("costs.handshake", 0),
 		},
 	}
-	reportMode := p.choice("report.how", "inline", "on_probe", "off")
+	reportMode := r.choice("report.how", "inline", "on_probe", "off")
 	s.ReportProbes = reportMode == 1
 	if reportMode < 2 {
-		s.ReportFields = p.report()
+		s.ReportFields = r.report()
 	}
-	for i := range p.count("grades.count") {
-		s.Classes = append(s.Classes, p.class(i))
+	for i := range r.count("grades.count") {
+		s.Classes = append(s.Classes, r.class(i))
 	}
-	for i := range p.count("tenants.count") {
-		at := fmt.Sprintf("tenants.%d.", i)
+	for i := range r.count("tenants.count") {
+		prefix := fmt.Sprintf("tenants.%d.", i)
 		s.Tenants = append(s.Tenants, balance.Tenant{
-			QuotaPerSecond: p.number(at+"quotaRps", 0), Share: p.number(at+"fraction", 0)})
+			QuotaPerSecond: r.number(prefix+"quotaRps", 0), Share: r.number(prefix+"fraction", 0)})
 	}
 	return s
 }
 
-func (p *settingsReader) limits() balance.Limits {
+func (r *settingsReader) limits() balance.Limits {
 	return balance.Limits{
-		Cancel:         p.flag("bounds.cancelling"),
-		HedgedRequests: p.flag("bounds.secondCopies"),
-		Probes:         p.flag("bounds.probes"),
-		Messages:       p.flag("bounds.mayTell"),
-		RetryAfter:     p.flag("bounds.retryAfter"),
-		MaxRetryAfter:  p.duration("bounds.maxRetryAfterUs"),
-		MaxAttempts:    p.integer("bounds.maxAttempts", 1),
-		ConnectTimeout: p.duration("bounds.connectTimeoutUs"),
-		ConnIdle:       p.duration("bounds.connIdleUs"),
-		StreamsPerConn: p.integer("bounds.streamsPerConn", 1),
+		Cancel:         r.boolean("bounds.cancelling"),
+		HedgedRequests: r.boolean("bounds.secondCopies"),
+		Probes:         r.boolean("bounds.probes"),
+		Messages:       r.boolean("bounds.mayTell"),
+		RetryAfter:     r.boolean("bounds.retryAfter"),
+		MaxRetryAfter:  r.duration("bounds.maxRetryAfterUs"),
+		MaxAttempts:    r.integer("bounds.maxAttempts", 1),
+		ConnectTimeout: r.duration("bounds.connectTimeoutUs"),
+		ConnIdle:       r.duration("bounds.connIdleUs"),
+		StreamsPerConn: r.integer("bounds.streamsPerConn", 1),
 	}
 }
 
-func (p *settingsReader) rules() balance.Rules {
+func (r *settingsReader) rules() balance.Rules {
 	return balance.Rules{
-		AnswerSlack:      p.duration("rules.answerSlackUs"),
-		SubscribeWithin:  p.duration("rules.askWithinUs"),
-		DrainGrace:       p.duration("rules.drainGraceUs"),
-		InitialCapacity:  p.number("rules.coldFrom", 1),
-		WarmupTime:       p.duration("rules.coldUs"),
-		OverloadMultiple: p.number("rules.fallMultiple", 0),
-		OverloadTime:     p.duration("rules.overloadForUs"),
+		AnswerSlack:      r.duration("rules.answerSlackUs"),
+		SubscribeWithin:  r.duration("rules.askWithinUs"),
+		DrainGrace:       r.duration("rules.drainGraceUs"),
+		InitialCapacity:  r.number("rules.coldFrom", 1),
+		WarmupTime:       r.duration("rules.coldUs"),
+		OverloadMultiple: r.number("rules.fallMultiple", 0),
+		OverloadTime:     r.duration("rules.overloadForUs"),
 	}
 }
 
-func (p *settingsReader) report() []balance.ReportField {
-	names := p.list("report.fields")
+// report returns the fields of load reports. Names that the balancer does not use are FieldOther.
+func (r *settingsReader) report() []balance.ReportField {
+	names := r.list("report.fields")
 	fields := make([]balance.ReportField, len(names))
 	for i, name := range names {
-		fields[i] = fieldNames[name]
+		fields[i] = reportFields[name]
 		switch name {
 		case "x0":
-			fields[i] = extraNames[wireWord(p.values["domain.reportX0"])]
+			fields[i] = extraReportFields[toWireWord(r.values["domain.reportX0"])]
 		case "x1":
-			fields[i] = extraNames[wireWord(p.values["domain.reportX1"])]
+			fields[i] = extraReportFields[toWireWord(r.values["domain.reportX1"])]
 		}
 	}
 	return fields
 }
 
-// wireWord converts a word to its form on the simulator's wire, which has neither blanks nor commas. A
-// node's JSON settings have them.
-func wireWord(word string) string { return strings.NewReplacer(" ", "_", ",", "_").Replace(word) }
+// toWireWord replaces the blanks and commas of a word by underscores, as the simulator's wire does. The
+// words in a node's JSON settings may have them.
+func toWireWord(word string) string { return strings.NewReplacer(" ", "_", ",", "_").Replace(word) }
 
-func (p *settingsReader) class(index int) balance.Class {
-	at := fmt.Sprintf("grades.%d.", index)
+func (r *settingsReader) class(index int) balance.Class {
+	prefix := fmt.Sprintf("grades.%d.", index)
 	return balance.Class{
-		LatencyTarget: p.duration(at + "targetUs"),
-		TargetStretch: p.listNumber("domain.classStretch", index, p.number(at+"aimStretch", 0)),
-		Timeout:       p.duration(at + "giveUpUs"),
-		Value:         p.number(at+"points", 1),
-		LateValue:     p.number(at+"lateWorth", 0),
-		Effect: balance.Effect(p.choice(at+"repeat", "read_like", "idempotency_key",
+		LatencyTarget: r.duration(prefix + "targetUs"),
+		TargetStretch: r.numberAt("domain.classStretch", index, r.number(prefix+"aimStretch", 0)),
+		Timeout:       r.duration(prefix + "giveUpUs"),
+		Value:         r.number(prefix+"points", 1),
+		LateValue:     r.number(prefix+"lateWorth", 0),
+		Effect: balance.Effect(r.choice(prefix+"repeat", "read_like", "idempotency_key",
 			"non_idempotent")),
-		DedupGroup:  balance.DedupGroup(p.choice(at+"group", "all", "zone", "cell")),
-		DedupWindow: p.duration(at + "windowUs"),
-		Stream:      p.flag(at + "stream"),
-		Kind:        int(p.listNumber("domain.classKind", index, -1)),
-		Priority:    int(p.listNumber("domain.classPriority", index, 0)),
+		DedupGroup:  balance.DedupGroup(r.choice(prefix+"group", "all", "zone", "cell")),
+		DedupWindow: r.duration(prefix + "windowUs"),
+		Stream:      r.boolean(prefix + "stream"),
+		Kind:        int(r.numberAt("domain.classKind", index, -1)),
+		Priority:    int(r.numberAt("domain.classPriority", index, 0)),
 	}
 }
