--- a/internal/node/nodeconfig/config.go
+++ b/internal/node/nodeconfig/config.go
@@ -1,8 +1,10 @@
-// Package nodeconfig reads, validates and completes the node's settings: the node's own JSON
-// file (config.go), and the TOML files of the batch front (batch.go), the fleet (fleet.go) and
-// the log (log.go). It also divides the node's descriptors and memory among its parts.
+// Package nodeconfig reads the settings of a node, validates them and fills in defaults: the JSON
+// file of the node itself (config.go), and the TOML files of the batch front (batch.go), the fleet
+// (fleet.go) and the log (log.go). It also divides the node's descriptors and memory among its
+// parts.
 //
-// Each error names the faulty key. The node's command is the caller; nothing is read later.
+// Each error names the faulty key. Only the node's commands call the package, at the start and at a
+// reload; nothing is read at other times.
 package nodeconfig
 
 import (
@@ -22,32 +24,32 @@
 	"ospreybend/internal/node/simwire"
 )
 
-// Descriptors that are reserved for neither clients nor destinations: the log, the listeners,
-// the loop's own, the pool config's, UDP, and a second one for each connection that is just
-// being registered with the loop, of which a small node has fewer.
+// Some descriptors are available to neither clients nor destinations: those of the log, the
+// listeners, the event loop, the pool config connection and UDP, and a second one for each
+// connection that is being registered with the event loop, of which a small node has fewer.
 const (
 	maxReservedSockets    = 64
 	baseReservedSockets   = 24
-	reservedSocketDivisor = 16 // one in so many, beyond baseReservedSockets
-	adminSocketDivisor    = 12 // one in so many is reserved for operators
+	reservedSocketDivisor = 16 // 1/reservedSocketDivisor of all is reserved in addition to baseReservedSockets
+	adminSocketDivisor    = 12 // 1/adminSocketDivisor of all is reserved for operators
 	minSockets            = 128
 )
 
 const (
 	defaultMemoryMB       = 192
 	defaultSockets        = 1024
-	maxAdminSockets       = 24 // reserved for the operators' address at most
+	maxAdminSockets       = 24 // limit on the descriptors reserved for operators
 	adminMaxBufferedBytes = 256 << 10
 	minMemoryMB           = 32
 	bufferedInputDivisor  = 8 // a front may buffer 1/bufferedInputDivisor of the memory limit
 )
 
-// Node is the node's settings, validated and completed.
+// Node holds the settings of a node, validated and with defaults filled in.
 type Node struct {
 	Name              string
 	Listen            string
 	Discovery         string
-	Admin             string // the operators' address; empty: none
+	Admin             string // address for operators; empty: none
 	InheritedListener string // descriptor number of the clients' listening socket; empty: this process listens itself
 	TmpDir            string // shared by the processes of one node (package hotrestart); empty: none
 	Seed              uint64
@@ -61,24 +63,24 @@
 	CachedList protocol.EndpointList
 	Settings   balance.Settings
 
-	Classes, Tenants      map[string]int // number by name
+	Classes, Tenants      map[string]int // index by name
 	ClassNames            []string
-	BatchClasses          map[string]int // the batch front's, by name; see ReserveBatch
+	BatchClasses          map[string]int // index of the class for batch jobs by name of the request class; see ReserveBatch
 	Zones, Kinds          []string
 	ReportFields          []string
 	FrontMaxSockets       int
-	FrontMaxBufferedBytes int // of a front's unprocessed input
+	FrontMaxBufferedBytes int // limit on the unprocessed input of a front
 	AdminMaxSockets       int
 	AdminMaxBufferedBytes int
 	MaxDestinationConns   int
 
 	Fleet Fleet // see ReserveFleet
 
-	flatSettings map[string]string // "settings", see flatten
+	flatSettings map[string]string // the key "settings" as flatten returns it
 }
 
-// file is the JSON form of the node's settings.
-type file struct {
+// configFile is the JSON form of the node's settings.
+type configFile struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
 	Discovery string `json:"discovery"`
@@ -96,14 +98,14 @@
 }
 
 var (
-	errPathMissing       = errors.New("BALANCER_CONFIG: not set")
+	errPathMissing       = errors.New("BALANCER_CONFIG: not set, want the path of the configuration file")
 	errSettingsMissing   = errors.New("settings: missing")
-	errSettingsNoObject  = errors.New("settings: no object")
-	errSettingsNoClasses = errors.New("settings: grades: no class of requests")
+	errSettingsNotObject = errors.New("settings: not a JSON object")
+	errSettingsNoClasses = errors.New("settings: grades: empty, want at least one request class")
 )
 
-// Load reads the file that BALANCER_CONFIG names. Environment variables replace some keys that
-// the file lacks.
+// Load reads the node's settings from the file that BALANCER_CONFIG names. Environment variables
+// supply some keys that are absent from the file.
 func Load(env func(string) string) (*Node, error) {
 	path := env("BALANCER_CONFIG")
 	if path == "" {
@@ -116,15 +118,15 @@
 	return Parse(text, env)
 }
 
-// Parse reads and validates the file's text.
+// Parse parses and validates the node's settings; see Load.
 func Parse(text []byte, env func(string) string) (*Node, error) {
-	var f file
+	var f configFile
 	if err := json.Unmarshal(text, &f); err != nil {
-		var kind *json.UnmarshalTypeError
-		if errors.As(err, &kind) {
-			return nil, fmt.Errorf("%s: a %s where %s is wanted", kind.Field, kind.Value, kind.Type)
+		var mismatch *json.UnmarshalTypeError
+		if errors.As(err, &mismatch) {
+			return nil, fmt.Errorf("%s: got a %s, want %s", mismatch.Field, mismatch.Value, mismatch.Type)
 		}
-		return nil, fmt.Errorf("the configuration is no JSON object: %w", err)
+		return nil, fmt.Errorf("the configuration is not a JSON object: %w", err)
 	}
 	n := &Node{Name: firstNonEmpty(f.Name, env("BALANCER_NAME")), Listen: firstNonEmpty(f.Listen, env("BALANCER_LISTEN")),
 		Discovery: firstNonEmpty(f.Discovery, env("BALANCER_DISCOVERY")), MemoryMB: int(f.Limits.MemoryMB),
@@ -139,25 +141,25 @@
 	return n, nil
 }
 
-// NeedRestart returns the keys in which other settings differ and that take effect at a start
-// alone. Keys that are different at each start, as the seed, are not among them.
-func (n *Node) NeedRestart(other *Node) (keys []string) {
-	for _, c := range []struct {
-		key       string
-		old, read any
+// NeedRestart returns the keys whose values differ in the later settings and that take effect only
+// after a restart. Keys that differ at each start, such as the seed, are not among them.
+func (n *Node) NeedRestart(later *Node) (keys []string) {
+	for _, setting := range []struct {
+		key      string
+		old, new any
 	}{
-		{"name", n.Name, other.Name},
-		{"listen", n.Listen, other.Listen},
-		{"admin", n.Admin, other.Admin},
-		{"limits.memory_mb", n.MemoryMB, other.MemoryMB},
-		{"limits.sockets", n.Sockets, other.Sockets},
-		{"peer_listen", n.PeerListen, other.PeerListen},
-		{"peers", n.Peers, other.Peers},
-		{"peers_all", n.PeersAll, other.PeersAll},
-		{"settings", n.flatSettings, other.flatSettings},
+		{"name", n.Name, later.Name},
+		{"listen", n.Listen, later.Listen},
+		{"admin", n.Admin, later.Admin},
+		{"limits.memory_mb", n.MemoryMB, later.MemoryMB},
+		{"limits.sockets", n.Sockets, later.Sockets},
+		{"peer_listen", n.PeerListen, later.PeerListen},
+		{"peers", n.Peers, later.Peers},
+		{"peers_all", n.PeersAll, later.PeersAll},
+		{"settings", n.flatSettings, later.flatSettings},
 	} {
-		if !reflect.DeepEqual(c.old, c.read) {
-			keys = append(keys, c.key)
+		if !reflect.DeepEqual(setting.old, setting.new) {
+			keys = append(keys, setting.key)
 		}
 	}
 	return keys
@@ -171,7 +173,7 @@
 	return second
 }
 
-// validate checks the addresses, the seed and the limits, and completes the node from them.
+// validate checks the addresses, the seed and the limits, and sets the fields that follow from them.
 func (n *Node) validate(seed string) error {
 	if err := n.checkAddresses(); err != nil {
 		return err
@@ -182,7 +184,7 @@
 	if seed != "" {
 		v, err := strconv.ParseUint(seed, 16, 64)
 		if err != nil {
-			return fmt.Errorf("seed: %q is no hexadecimal number of 64 bits", seed)
+			return fmt.Errorf("seed: %q is not a hexadecimal number of 64 bits", seed)
 		}
 		n.Seed = v
 	}
@@ -201,7 +203,7 @@
 			return err
 		}
 		if n.Admin == n.Listen {
-			return fmt.Errorf("admin: %q is the clients' address", n.Admin)
+			return fmt.Errorf("admin: %q is also the value of listen, want a different address", n.Admin)
 		}
 	}
 	for _, optional := range []struct{ key, value string }{{"peer_listen", n.PeerListen}, {"peers_all", n.PeersAll}} {
@@ -220,23 +222,23 @@
 	return nil
 }
 
-// divideLimits checks the limits of memory and descriptors, and divides them between the
-// operators, the clients' side and the destinations' side.
+// divideLimits checks the limits on memory and descriptors, and divides them among the operators,
+// the clients' side and the destinations' side.
 func (n *Node) divideLimits() error {
 	if n.MemoryMB == 0 {
 		n.MemoryMB = defaultMemoryMB
 	}
 	if n.MemoryMB < minMemoryMB {
-		return fmt.Errorf("limits.memory_mb: %d, at least %d are needed", n.MemoryMB, minMemoryMB)
+		return fmt.Errorf("limits.memory_mb: %d is too low, want at least %d", n.MemoryMB, minMemoryMB)
 	}
 	n.FrontMaxBufferedBytes = n.MemoryMB << 20 / bufferedInputDivisor
 	if n.Sockets == 0 {
 		n.Sockets = defaultSockets
 	}
 	if n.Sockets < minSockets {
-		return fmt.Errorf("limits.sockets: %d, at least %d are needed", n.Sockets, minSockets)
+		return fmt.Errorf("limits.sockets: %d is too low, want at least %d", n.Sockets, minSockets)
 	}
-	// A request in progress needs one connection on either side, so that both get as many.
+	// Both sides get the same number, since a request in progress needs one connection on each.
 	if n.Admin != "" {
 		n.AdminMaxSockets = min(maxAdminSockets, n.Sockets/adminSocketDivisor)
 	}
@@ -246,15 +248,16 @@
 	return nil
 }
 
-// checkAddress checks that a key's value is an IP address and port.
+// checkAddress checks that the value of a key is an IP address and a port.
 func checkAddress(key, value string) error {
 	if _, err := netip.ParseAddrPort(value); err != nil {
-		return fmt.Errorf("%s: %q is no address and port", key, value)
+		return fmt.Errorf("%s: %q is not an IP address and port", key, value)
 	}
 	return nil
 }
 
-// parseSettings reads the balancer's settings, and the names in them.
+// parseSettings parses the balancer's settings, and the names of classes, tenants, zones, kinds of
+// workers and load report values in them.
 func (n *Node) parseSettings(text json.RawMessage) error {
 	if len(text) == 0 {
 		return errSettingsMissing
@@ -267,7 +270,7 @@
 	}
 	values := map[string]string{}
 	if _, ok := tree.(map[string]any); !ok {
-		return errSettingsNoObject
+		return errSettingsNotObject
 	}
 	flatten(values, "", tree)
 	n.flatSettings = values
@@ -276,8 +279,8 @@
 		return fmt.Errorf("settings: %w", err)
 	}
 	n.Settings = s
-	n.Classes, n.ClassNames = numbersByName(values, "grades", len(s.Classes))
-	n.Tenants, _ = numbersByName(values, "tenants", len(s.Tenants))
+	n.Classes, n.ClassNames = indexByName(values, "grades", len(s.Classes))
+	n.Tenants, _ = indexByName(values, "tenants", len(s.Tenants))
 	n.Zones, n.Kinds = splitList(values["failureDomains"]), splitList(values["machineTypes"])
 	if len(s.ReportFields) > 0 {
 		n.ReportFields = splitList(values["report.fields"])
@@ -287,7 +290,7 @@
 	}
 	for i, c := range s.Classes {
 		if c.Timeout <= 0 {
-			return fmt.Errorf("settings: grades.%d.giveUpUs: not above 0", i)
+			return fmt.Errorf("settings: grades.%d.giveUpUs: missing or 0, want a number above 0", i)
 		}
 	}
 	if s.Limits.ConnectTimeout <= 0 {
@@ -296,8 +299,9 @@
 	return nil
 }
 
-// flatten puts the leaves of nested settings into values, named as on the simulator's wire: keys
-// are joined by dots, lists of scalars by commas, and elements of lists of objects are numbered.
+// flatten puts the leaves of nested settings into values, under the names that they have on the
+// simulator's wire: keys are joined by dots, lists of scalars by commas, and the elements of a list
+// of objects are numbered, with their number under the key "count".
 func flatten(values map[string]string, prefix string, value any) {
 	join := func(key string) string {
 		if prefix == "" {
@@ -311,17 +315,17 @@
 			flatten(values, join(k), inner)
 		}
 	case []any:
-		words := make([]string, 0, len(value))
+		scalars := make([]string, 0, len(value))
 		for i, inner := range value {
 			switch inner.(type) {
 			case map[string]any, []any:
 				flatten(values, join(strconv.Itoa(i)), inner)
 			default:
-				words = append(words, scalarText(inner))
+				scalars = append(scalars, scalarText(inner))
 			}
 		}
-		if len(words) == len(value) {
-			values[prefix] = strings.Join(words, ",")
+		if len(scalars) == len(value) {
+			values[prefix] = strings.Join(scalars, ",")
 		}
 		values[join("count")] = strconv.Itoa(len(value))
 	default:
@@ -329,7 +333,7 @@
 	}
 }
 
-// scalarText returns a JSON scalar as the simulator's wire has it.
+// scalarText returns a JSON scalar in the form of the simulator's wire.
 func scalarText(v any) string {
 	switch v := v.(type) {
 	case nil:
@@ -344,7 +348,7 @@
 	return fmt.Sprint(v)
 }
 
-// splitList splits a list of scalars; see flatten.
+// splitList splits a list of scalars that flatten has joined.
 func splitList(v string) []string {
 	if v == "" {
 		return nil
@@ -352,13 +356,13 @@
 	return strings.Split(v, ",")
 }
 
-// numbersByName returns the numbers of a list's objects by their names, and the names in order.
-func numbersByName(values map[string]string, key string, count int) (map[string]int, []string) {
-	numbers, order := map[string]int{}, make([]string, count)
+// indexByName returns the index by name of the objects of a list, and their names in order.
+func indexByName(values map[string]string, key string, count int) (map[string]int, []string) {
+	indexes, names := map[string]int{}, make([]string, count)
 	for i := range count {
 		name := values[fmt.Sprintf("%s.%d.name", key, i)]
-		order[i] = name
-		numbers[name] = i
+		names[i] = name
+		indexes[name] = i
 	}
-	return numbers, order
+	return indexes, names
 }
--- a/internal/node/nodeconfig/fleet.go
+++ b/internal/node/nodeconfig/fleet.go
@@ -12,26 +12,27 @@
 )
 
 const (
-	fleetFile  = "deploy/fleet.toml"
-	maxVoters  = 7
-	fleetConns = 8 // reserved for a node's calls to the voters
+	defaultFleetFile   = "deploy/fleet.toml"
+	maxVoters          = 7
+	reservedFleetConns = 8 // connections for a node's calls to the voters
 )
 
-// Fleet is the settings of a process that belongs to a fleet. Nothing of it is used unless Enabled.
+// Fleet holds the settings of a process that belongs to a fleet. The other fields are used only if
+// Enabled is set.
 type Fleet struct {
 	Enabled bool         `toml:"enabled"`
-	Fleet   string       `toml:"fleet"` // its name, the same in all of its processes
-	Zone    string       `toml:"zone"`  // of this process
+	Fleet   string       `toml:"fleet"` // name of the fleet, the same in all of its processes
+	Zone    string       `toml:"zone"`  // zone of this process
 	Voters  []FleetVoter `toml:"voters"`
 	Voter   struct {
-		ID     uint64 `toml:"id"`     // 0: this process is no voter
-		Listen string `toml:"listen"` // empty: its address in Voters
-		Store  string `toml:"store"`
-		Joins  bool   `toml:"joins"` // the fleet exists already, and this voter is added to it
+		ID     uint64 `toml:"id"`     // 0: this process is not a voter
+		Listen string `toml:"listen"` // empty: the address of this voter in Voters
+		Store  string `toml:"store"`  // file of its replica
+		Joins  bool   `toml:"joins"`  // the fleet already exists, and this voter is to be added to it
 	} `toml:"voter"`
 }
 
-// FleetVoter is one of the replicas of the fleet's control state.
+// FleetVoter is a process that holds a replica of the fleet's control state and votes on it.
 type FleetVoter struct {
 	ID      uint64 `toml:"id"`
 	Zone    string `toml:"zone"`
@@ -47,16 +48,16 @@
 }
 
 var (
-	errFleetMissing      = errors.New("fleet: missing")
-	errZoneMissing       = errors.New("zone: missing")
-	errVoterIDMissing    = errors.New("voter.id: missing")
-	errVoterStoreMissing = errors.New("voter.store: missing")
+	errFleetMissing      = errors.New("fleet: missing, want the name of the fleet")
+	errZoneMissing       = errors.New("zone: missing, want the zone of this process")
+	errVoterIDMissing    = errors.New("voter.id: missing, but voter.listen or voter.store is set")
+	errVoterStoreMissing = errors.New("voter.store: missing, want the file of the voter")
 )
 
-// LoadFleet reads the fleet's file: the one that OSPREYBEND_FLEET names, or
-// deploy/fleet.toml. Without that file the process belongs to no fleet.
+// LoadFleet reads the settings of the fleet from the file that OSPREYBEND_FLEET names, or else from
+// deploy/fleet.toml. The process belongs to no fleet if the latter does not exist.
 func LoadFleet(env func(string) string) (Fleet, error) {
-	path := firstNonEmpty(env("OSPREYBEND_FLEET"), fleetFile)
+	path := firstNonEmpty(env("OSPREYBEND_FLEET"), defaultFleetFile)
 	text, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) && env("OSPREYBEND_FLEET") == "" {
 		return Fleet{}, nil
@@ -71,7 +72,7 @@
 	return f, nil
 }
 
-// ParseFleet reads and validates the file's text.
+// ParseFleet parses and validates the settings of the fleet.
 func ParseFleet(text string) (Fleet, error) {
 	var f Fleet
 	meta, err := toml.Decode(text, &f)
@@ -93,7 +94,7 @@
 	return f, nil
 }
 
-// validateVoters checks the fleet's name, the zone and the list of voters.
+// validateVoters checks the name of the fleet, the zone of this process and the list of voters.
 func (f *Fleet) validateVoters() error {
 	switch {
 	case f.Fleet == "":
@@ -101,14 +102,14 @@
 	case f.Zone == "":
 		return errZoneMissing
 	case len(f.Voters) == 0 || len(f.Voters) > maxVoters || len(f.Voters)%2 == 0:
-		return fmt.Errorf("voters: %d, an odd number of at most %d is wanted", len(f.Voters), maxVoters)
+		return fmt.Errorf("voters: %d, want an odd number of at most %d", len(f.Voters), maxVoters)
 	}
 	ids, addresses := map[uint64]bool{}, map[string]bool{}
 	for i, voter := range f.Voters {
 		key := fmt.Sprintf("voters.%d", i)
 		switch {
 		case voter.ID == 0:
-			return fmt.Errorf("%s.id: a number above 0 is wanted", key)
+			return fmt.Errorf("%s.id: missing or 0, want a number above 0", key)
 		case ids[voter.ID]:
 			return fmt.Errorf("%s.id: %d comes twice", key, voter.ID)
 		case voter.Zone == "":
@@ -124,8 +125,8 @@
 	return nil
 }
 
-// completeOwnVoter checks the settings of this process as a voter, if it is one, and takes its
-// address from the list of voters if it names none.
+// completeOwnVoter checks the voter settings of this process, if it is a voter. The listen address
+// defaults to the voter's address in the list of voters.
 func (f *Fleet) completeOwnVoter() error {
 	if f.Voter.ID == 0 {
 		if f.Voter.Listen != "" || f.Voter.Store != "" {
@@ -135,11 +136,11 @@
 	}
 	index := slices.IndexFunc(f.Voters, func(v FleetVoter) bool { return v.ID == f.Voter.ID })
 	if index < 0 {
-		return fmt.Errorf("voter.id: %d is none of the voters", f.Voter.ID)
+		return fmt.Errorf("voter.id: %d is not the ID of any of the voters", f.Voter.ID)
 	}
 	own := f.Voters[index]
 	if own.Zone != f.Zone {
-		return fmt.Errorf("zone: %q, but voter %d is in %q", f.Zone, own.ID, own.Zone)
+		return fmt.Errorf("zone: %q, want %q, the zone of voter %d in the list of voters", f.Zone, own.Zone, own.ID)
 	}
 	f.Voter.Listen = firstNonEmpty(f.Voter.Listen, own.Address)
 	if err := checkAddress("voter.listen", f.Voter.Listen); err != nil {
@@ -152,15 +153,15 @@
 }
 
 // ReserveFleet makes the node a member of a fleet, and reserves connections for its calls to the
-// voters.
+// voters. It does nothing if the fleet is disabled.
 func (n *Node) ReserveFleet(f Fleet) error {
 	if !f.Enabled {
 		return nil
 	}
 	n.Fleet = f
-	n.MaxDestinationConns -= fleetConns
-	if n.MaxDestinationConns < batchAdminSockets {
-		return fmt.Errorf("limits.sockets: %d are too few with the fleet's %d", n.Sockets, fleetConns)
+	n.MaxDestinationConns -= reservedFleetConns
+	if n.MaxDestinationConns < minFrontSockets {
+		return fmt.Errorf("limits.sockets: %d are too few, since the fleet reserves %d of them", n.Sockets, reservedFleetConns)
 	}
 	return nil
 }
--- a/internal/node/nodeconfig/fleet_test.go
+++ b/internal/node/nodeconfig/fleet_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-const goodFleet = `
+const validFleet = `
 enabled = true
 fleet = "f"
 zone = "a"
@@ -26,11 +26,11 @@
 store = "x"
 `
 
-// Each error names the faulty key, and a disabled file is not validated.
+// Each error names the invalid key. The settings of a disabled fleet are not validated.
 func TestParseFleet(t *testing.T) {
-	f, err := ParseFleet(goodFleet)
+	f, err := ParseFleet(validFleet)
 	if err != nil || f.Voter.Listen != "127.0.0.1:7301" || len(f.VoterIDs()) != 3 {
-		t.Fatalf("%+v, %v", f, err)
+		t.Fatalf("parse valid settings: got %+v and error %v, want 3 voters and the listen address of voter 1", f, err)
 	}
 	for _, c := range []struct{ old, new, want string }{
 		{`fleet = "f"`, ``, "fleet:"},
@@ -48,12 +48,12 @@
 		{`store = "x"`, "store = \"x\"\nhouse = 1", "voter.house: no such key"},
 		{"[[voters]]\nid = 3\nzone = \"c\"\naddress = \"127.0.0.1:7303\"\n", "", "voters: 2"},
 	} {
-		text := strings.Replace(goodFleet, c.old, c.new, 1)
+		text := strings.Replace(validFleet, c.old, c.new, 1)
 		if _, err := ParseFleet(text); err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%q for %q: %v", c.new, c.old, err)
+			t.Errorf("%q instead of %q: got error %v, want one with %q", c.new, c.old, err, c.want)
 		}
 	}
 	if f, err := ParseFleet("enabled = false\nfleet = \"\""); err != nil || f.Enabled || f.Fleet != "" {
-		t.Errorf("off: %+v, %v", f, err)
+		t.Errorf("parse a disabled fleet without a name: got %+v and error %v, want a disabled fleet and no error", f, err)
 	}
 }
--- a/internal/node/nodeconfig/log.go
+++ b/internal/node/nodeconfig/log.go
@@ -11,18 +11,18 @@
 	"github.com/BurntSushi/toml"
 )
 
-const logFile = "deploy/log.toml"
+const defaultLogFile = "deploy/log.toml"
 
-// Log is the settings of the log.
+// Log holds the settings of the log.
 type Log struct {
 	Level  string `toml:"level"`  // debug, info, warn, error
 	Format string `toml:"format"` // text, json
 }
 
-// LoadLog reads the log's file: the one that OSPREYBEND_LOG names, or deploy/log.toml.
-// Without that file the log is text at level info.
+// LoadLog reads the settings of the log from the file that OSPREYBEND_LOG names, or else from
+// deploy/log.toml. If the latter does not exist the log is text at level info.
 func LoadLog(env func(string) string) (Log, error) {
-	path := firstNonEmpty(env("OSPREYBEND_LOG"), logFile)
+	path := firstNonEmpty(env("OSPREYBEND_LOG"), defaultLogFile)
 	text, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) && env("OSPREYBEND_LOG") == "" {
 		return ParseLog("")
@@ -37,7 +37,7 @@
 	return l, nil
 }
 
-// ParseLog reads and validates the file's text.
+// ParseLog parses and validates the settings of the log.
 func ParseLog(text string) (Log, error) {
 	l := Log{Level: "info", Format: "text"}
 	meta, err := toml.Decode(text, &l)
@@ -49,7 +49,7 @@
 	}
 	var level slog.Level
 	if level.UnmarshalText([]byte(l.Level)) != nil {
-		return l, fmt.Errorf("level: %q is none of debug, info, warn and error", l.Level)
+		return l, fmt.Errorf("level: %q is not one of debug, info, warn and error", l.Level)
 	}
 	if l.Format != "text" && l.Format != "json" {
 		return l, fmt.Errorf("format: %q is neither text nor json", l.Format)
@@ -57,13 +57,13 @@
 	return l, nil
 }
 
-// Handler returns a handler that writes the log with these settings.
-func (l Log) Handler(to io.Writer) slog.Handler {
+// Handler returns a handler that writes the log to w with these settings.
+func (l Log) Handler(w io.Writer) slog.Handler {
 	var level slog.Level
-	_ = level.UnmarshalText([]byte(l.Level)) // checked when it was read
+	_ = level.UnmarshalText([]byte(l.Level)) // validated by ParseLog
 	options := &slog.HandlerOptions{Level: level}
 	if l.Format == "json" {
-		return slog.NewJSONHandler(to, options)
+		return slog.NewJSONHandler(w, options)
 	}
-	return slog.NewTextHandler(to, options)
+	return slog.NewTextHandler(w, options)
 }
