--- a/internal/node/faultinjection/fault.go
+++ b/internal/node/faultinjection/fault.go
@@ -1,6 +1,7 @@
-// Package faultinjection kills the process at named points of a batch job's way, or stalls the
-// store of record there, for tests of crashes between two steps. Unless Arm was called a point
-// costs one atomic load. The points are in packages jobs, store, routing and protocol.
+// Package faultinjection kills the process at named points in the processing of a batch job, or
+// stalls the store of record there. Tests use it to simulate a crash or a slow store between two
+// steps. Unless a fault is armed, passing a point costs one atomic load. The points are in packages
+// jobs, store, routing and protocol.
 package faultinjection
 
 import (
@@ -14,77 +15,79 @@
 	"time"
 )
 
-// The points, in the order in which a booking passes them.
+// The points, in the order in which a job passes them.
 const (
-	InsertBefore = "insert-before" // before the commit of its record
-	InsertAfter  = "insert-after"
-	AnswerBefore = "answer-before" // before its submission is acknowledged
-	MarkBefore   = "mark-before"   // before the commit that it may be sent
-	MarkAfter    = "mark-after"
-	GateOpen     = "gate-open"     // before it is written to the socket
+	InsertBefore = "insert-before" // before the commit of the job's record
+	InsertAfter  = "insert-after"  // after that commit
+	AnswerBefore = "answer-before" // before the submission is acknowledged
+	MarkBefore   = "mark-before"   // before the commit of the mark that the job may be sent
+	MarkAfter    = "mark-after"    // after that commit
+	GateOpen     = "gate-open"     // before the request is written to the socket
 	BytesWritten = "bytes-written" // after the request was written
-	OutcomeHeard = "outcome-heard" // after its outcome was received
-	FinishBefore = "finish-before" // before the commit of its end
-	FinishAfter  = "finish-after"
-	ShownBefore  = "shown-before" // before its end is visible to clients
+	OutcomeHeard = "outcome-heard" // after the outcome was received
+	FinishBefore = "finish-before" // before the commit of the final state
+	FinishAfter  = "finish-after"  // after that commit
+	ShownBefore  = "shown-before"  // before the final state is visible to clients
 )
 
-// Points returns all points.
+// Points returns the names of all points.
 func Points() []string {
 	return []string{InsertBefore, InsertAfter, AnswerBefore, MarkBefore, MarkAfter, GateOpen, BytesWritten, OutcomeHeard,
 		FinishBefore, FinishAfter, ShownBefore}
 }
 
-// injection is the fault that is armed.
+// injection is an armed fault.
 type injection struct {
 	point     string
-	remaining atomic.Int64
-	stall     time.Duration // 0: the process is killed
+	remaining atomic.Int64  // passings until the fault occurs
+	stall     time.Duration // 0: the process is killed instead
 }
 
 var armed atomic.Pointer[injection]
 
-// storePoints are the points off the loop, where the store can be stalled.
+// storePoints are the points at which the store can be stalled. They are passed outside of the event
+// loop, which a stall would block.
 var storePoints = []string{InsertBefore, InsertAfter, MarkBefore, MarkAfter, FinishBefore, FinishAfter}
 
-// Arm arms a fault: "POINT" or "POINT:N" kills the process at the first or Nth passing of a
-// point, "POINT:N:5s" stalls the store there for that long, once.
-func Arm(text string) error {
-	point, times, counted := strings.Cut(text, ":")
-	times, span, stalls := strings.Cut(times, ":")
+// Arm arms a fault: "POINT" or "POINT:N" kills the process at the first or the Nth passing of a
+// point; "POINT:N:5s" stalls the store for that time at the Nth passing. A fault occurs only once.
+func Arm(spec string) error {
+	point, passing, hasPassing := strings.Cut(spec, ":")
+	passing, duration, hasStall := strings.Cut(passing, ":")
 	var stall time.Duration
-	if stalls {
+	if hasStall {
 		var err error
-		if stall, err = time.ParseDuration(span); err != nil || stall <= 0 || !slices.Contains(storePoints, point) {
-			return fmt.Errorf("fault %q: no stall of the store", text)
+		if stall, err = time.ParseDuration(duration); err != nil || stall <= 0 || !slices.Contains(storePoints, point) {
+			return fmt.Errorf("fault %q: want a stall above 0s at one of %s", spec, strings.Join(storePoints, ", "))
 		}
 	}
 	n := int64(1)
-	if counted {
+	if hasPassing {
 		var err error
-		if n, err = strconv.ParseInt(times, 10, 64); err != nil || n < 1 {
-			return fmt.Errorf("fault %q: %q is no number of passings", text, times)
+		if n, err = strconv.ParseInt(passing, 10, 64); err != nil || n < 1 {
+			return fmt.Errorf("fault %q: %q is not a number of passings above 0", spec, passing)
 		}
 	}
 	if !slices.Contains(Points(), point) {
-		return fmt.Errorf("fault %q: no such point", text)
+		return fmt.Errorf("fault %q: %q is not one of the points %s", spec, point, strings.Join(Points(), ", "))
 	}
-	p := &injection{point: point, stall: stall}
-	p.remaining.Store(n)
-	armed.Store(p)
+	fault := &injection{point: point, stall: stall}
+	fault.remaining.Store(n)
+	armed.Store(fault)
 	return nil
 }
 
-// Hit marks the passing of a point.
+// Hit is called when a point is passed. It injects the armed fault if this is the passing that the
+// fault names.
 func Hit(point string) {
-	p := armed.Load()
-	if p == nil || p.point != point || p.remaining.Add(-1) != 0 {
+	fault := armed.Load()
+	if fault == nil || fault.point != point || fault.remaining.Add(-1) != 0 {
 		return
 	}
-	if p.stall > 0 {
-		time.Sleep(p.stall)
+	if fault.stall > 0 {
+		time.Sleep(fault.stall)
 		return
 	}
 	_ = syscall.Kill(os.Getpid(), syscall.SIGKILL)
-	select {} // until the process is killed
+	select {} // SIGKILL may take effect only later
 }
--- a/internal/node/faultinjection/fault_test.go
+++ b/internal/node/faultinjection/fault_test.go
@@ -2,33 +2,36 @@
 
 import "testing"
 
-func TestArm_rejectsMalformedPlans(t *testing.T) {
-	for _, bad := range []string{"", "nowhere", "gate-open:", "gate-open:0", "gate-open:x", ":1", "gate-open:1:5s", "mark-after:1:", "mark-after:1:-5s"} {
-		if err := Arm(bad); err == nil {
-			t.Errorf("%q is taken", bad)
+// Arm rejects malformed faults without arming them. A fault does not occur at other points or other
+// passings than its own; a premature one would kill the test process.
+func TestArm(t *testing.T) {
+	for _, malformed := range []string{"", "nowhere", "gate-open:", "gate-open:0", "gate-open:x", ":1", "gate-open:1:5s", "mark-after:1:", "mark-after:1:-5s"} {
+		if err := Arm(malformed); err == nil {
+			t.Errorf("arm %q: got no error, want one", malformed)
 		}
 	}
 	if armed.Load() != nil {
-		t.Fatal("armed by a fault that makes no sense")
+		t.Fatalf("after malformed faults: %q is armed, want none", armed.Load().point)
 	}
-	for _, p := range Points() {
-		if err := Arm(p + ":1000000"); err != nil {
-			t.Error(err)
+	for _, point := range Points() {
+		if err := Arm(point + ":1000000"); err != nil {
+			t.Errorf("arm %s at its 1000000th passing: %v", point, err)
 		}
 		for _, other := range Points() {
-			Hit(other) // not the one, or not yet
+			Hit(other) // a different point, or not the armed passing
 		}
 	}
 	if err := Arm("mark-after:2:1ms"); err != nil {
-		t.Error(err)
+		t.Errorf("arm a stall at the second passing of %s: %v", MarkAfter, err)
 	}
 	for range 3 {
-		Hit(MarkAfter) // the second stalls, and all return
+		Hit(MarkAfter) // the second one stalls; all of them return
 	}
 	armed.Store(nil)
 }
 
-func BenchmarkOff(b *testing.B) {
+// BenchmarkHit_disarmed measures the cost of passing a point while no fault is armed.
+func BenchmarkHit_disarmed(b *testing.B) {
 	for b.Loop() {
 		Hit(GateOpen)
 	}
