--- a/cmd/ospreybend/batch.go
+++ b/cmd/ospreybend/batch.go
@@ -106,7 +106,7 @@
 		slog.Error("reload: invalid batch API configuration ignored", "error", err)
 		return
 	}
-	if keys := b.cfg.NeedRestart(cfg); len(keys) > 0 {
+	if keys := b.cfg.KeysNeedingRestart(cfg); len(keys) > 0 {
 		slog.Warn("reload: some batch API keys take effect at the next start", "keys", keys)
 	}
 	if !cfg.Enabled {
--- a/cmd/ospreybend/cli_test.go
+++ b/cmd/ospreybend/cli_test.go
@@ -107,11 +107,11 @@
 	if err := os.WriteFile(token, []byte(tenants[0].Token+"\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	run(cli.ExitUnknown, "job", "list") // no session yet
+	run(cli.ExitInvalidArgument, "job", "list") // no session yet
 	run(cli.ExitOK, "session", "create", "default")
-	run(cli.ExitUnknown, "session", "create", "default")
+	run(cli.ExitInvalidArgument, "session", "create", "default")
 	id := run(cli.ExitOK, "job", "submit", "vorschau", "--hold", "--name", "n1")
-	run(cli.ExitState, "job", "hold", id)
+	run(cli.ExitInvalidState, "job", "hold", id)
 	run(cli.ExitTimeout, "job", "wait", id, "--timeout", "50ms")
 	if out := run(cli.ExitOK, "job", "list"); !strings.Contains(out, "QUEUED_HELD") || !strings.Contains(out, "n1") {
 		t.Errorf("job list with the held job n1: got %q, want QUEUED_HELD and n1", out)
@@ -121,11 +121,11 @@
 		t.Errorf("job wait after release: got %q, want DONE", out)
 	}
 	run(cli.ExitOK, "job", "reap", id)
-	run(cli.ExitUnknown, "job", "info", id)
+	run(cli.ExitInvalidArgument, "job", "info", id)
 	if out := run(cli.ExitFailed, "job", "submit", "vorschau", "bad", "--wait"); !strings.Contains(out, "can make nothing") {
 		t.Errorf("job submit --wait of a rejected job: got %q, want the worker's message", out)
 	}
-	run(cli.ExitUnknown, "job", "submit", "rm")
+	run(cli.ExitInvalidArgument, "job", "submit", "rm")
 	run(cli.ExitUsage, "job", "submit")
 	array := run(cli.ExitOK, "job", "bulk", "vorschau", "--end", "4", "--hold")
 	if out := run(cli.ExitOK, "job", "release", "-a", array); !strings.Contains(out, "4 jobs") {
@@ -141,7 +141,7 @@
 		t.Errorf("tenant queue: got %q, want a line on the window", out)
 	}
 	run(cli.ExitOK, "tenant", "quota", "anna", "0")
-	run(cli.ExitLater, "job", "submit", "vorschau")
+	run(cli.ExitTryLater, "job", "submit", "vorschau")
 	run(cli.ExitOK, "tenant", "rotate", "anna")
 	run(cli.ExitDenied, "job", "list")
 	run(cli.ExitOK, "version")
--- a/internal/node/routing/steps.go
+++ b/internal/node/routing/steps.go
@@ -183,7 +183,7 @@
 		c.StepEnded(stepHandle, StepEnd{Outcome: balance.NotSent})
 		return
 	}
-	faultinjection.Hit(faultinjection.GateOpen)
+	faultinjection.Hit(faultinjection.SendBefore)
 	c.destinations.Send(stepHandle, s.destination, &operation.Work, s.deadline)
 }
 
