--- a/cmd/ospreybend/batch.go
+++ b/cmd/ospreybend/batch.go
@@ -106,7 +106,7 @@
 		slog.Error("reload: invalid configuration of the batch front ignored", "error", err)
 		return
 	}
-	if keys := f.cfg.NeedRestart(cfg); len(keys) > 0 {
+	if keys := f.cfg.KeysNeedingRestart(cfg); len(keys) > 0 {
 		slog.Warn("reload: some keys of the batch front take effect at the next start", "keys", keys)
 	}
 	if !cfg.Enabled {
--- a/cmd/ospreybend/cli_test.go
+++ b/cmd/ospreybend/cli_test.go
@@ -106,11 +106,11 @@
 	if err := os.WriteFile(token, []byte(made[0].Token+"\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	do(cli.ExitUnknown, "job", "list") // no session yet
+	do(cli.ExitInvalidArgument, "job", "list") // no session yet
 	do(cli.ExitOK, "session", "create", "default")
-	do(cli.ExitUnknown, "session", "create", "default")
+	do(cli.ExitInvalidArgument, "session", "create", "default")
 	id := do(cli.ExitOK, "job", "submit", "vorschau", "--hold", "--name", "n1")
-	do(cli.ExitState, "job", "hold", id)
+	do(cli.ExitInvalidState, "job", "hold", id)
 	do(cli.ExitTimeout, "job", "wait", id, "--timeout", "50ms")
 	if out := do(cli.ExitOK, "job", "list"); !strings.Contains(out, "QUEUED_HELD") || !strings.Contains(out, "n1") {
 		t.Error(out)
@@ -120,11 +120,11 @@
 		t.Error(out)
 	}
 	do(cli.ExitOK, "job", "reap", id)
-	do(cli.ExitUnknown, "job", "info", id)
+	do(cli.ExitInvalidArgument, "job", "info", id)
 	if out := do(cli.ExitFailed, "job", "submit", "vorschau", "bad", "--wait"); !strings.Contains(out, "can make nothing") {
 		t.Error(out)
 	}
-	do(cli.ExitUnknown, "job", "submit", "rm")
+	do(cli.ExitInvalidArgument, "job", "submit", "rm")
 	do(cli.ExitUsage, "job", "submit")
 	array := do(cli.ExitOK, "job", "bulk", "vorschau", "--end", "4", "--hold")
 	if out := do(cli.ExitOK, "job", "release", "-a", array); !strings.Contains(out, "4 jobs") {
@@ -140,7 +140,7 @@
 		t.Error(out)
 	}
 	do(cli.ExitOK, "tenant", "quota", "anna", "0")
-	do(cli.ExitLater, "job", "submit", "vorschau")
+	do(cli.ExitTryLater, "job", "submit", "vorschau")
 	do(cli.ExitOK, "tenant", "rotate", "anna")
 	do(cli.ExitDenied, "job", "list")
 	do(cli.ExitOK, "version")
--- a/cmd/ospreybend/fleet.go
+++ b/cmd/ospreybend/fleet.go
@@ -24,7 +24,7 @@
 	cfg := n.cfg
 	n.voterClient = transport.NewClient()
 	config := agent.Config{
-		Fleet: fleet.Fleet, Name: cfg.Name, Zone: fleet.Zone, Zones: cfg.Zones,
+		Fleet: fleet.Name, Name: cfg.Name, Zone: fleet.Zone, Zones: cfg.Zones,
 		Classes: cfg.Settings.Classes, ClassNames: cfg.ClassNames, ReportsStart: cfg.Settings.ReportsStart,
 		Settings: follower.DefaultSettings(), Timers: &n.loop.Timers,
 		Incarnation: uint64(time.Now().UnixMicro()), Rand: rand.New(rand.NewPCG(cfg.Seed, rand.Uint64())),
@@ -38,7 +38,7 @@
 	n.core.SetStepObserver(n.agent)
 	n.core.SetAdmission(n.agent)
 	n.agent.Start()
-	slog.Info("joined the fleet", "name", fleet.Fleet, "zone", fleet.Zone, "voters", len(fleet.Voters))
+	slog.Info("joined the fleet", "name", fleet.Name, "zone", fleet.Zone, "voters", len(fleet.Voters))
 }
 
 // overrideZone sends an operator's override of a zone to one voter after the other until one reports it committed. done
--- a/cmd/ospreybend/reload.go
+++ b/cmd/ospreybend/reload.go
@@ -15,7 +15,7 @@
 		return
 	}
 	slog.Info("reload", "discovery", cfg.Discovery)
-	if keys := n.cfg.NeedRestart(cfg); len(keys) > 0 {
+	if keys := n.cfg.KeysNeedingRestart(cfg); len(keys) > 0 {
 		slog.Warn("reload: some keys take effect at the next start", "keys", keys)
 	}
 	n.loop.Post(func() { n.discovery.SetAddress(cfg.Discovery) })
--- a/cmd/ospreybend/voter.go
+++ b/cmd/ospreybend/voter.go
@@ -63,7 +63,7 @@
 		return server.Config{}, err
 	}
 	config := server.Config{
-		Fleet: fleet.Fleet, ID: fleet.Voter.ID, Listen: fleet.Voter.Listen, StorePath: fleet.Voter.Store,
+		Fleet: fleet.Name, ID: fleet.Voter.ID, Listen: fleet.Voter.Listen, StorePath: fleet.Voter.Store,
 		Voters: map[uint64]string{}, Classes: failoverClasses(node), Settings: replica.DefaultSettings(),
 		DisabledCheck: getenv(withoutCheckEnv),
 	}
--- a/internal/node/batch/cli/cli.go
+++ b/internal/node/batch/cli/cli.go
@@ -21,15 +21,15 @@
 
 // The exit codes that docs/CLI.md documents.
 const (
-	ExitOK      = 0
-	ExitError   = 1
-	ExitUsage   = 2
-	ExitFailed  = 3 // the job that was waited for ended as FAILED
-	ExitUnknown = 4 // an argument is invalid or unsupported, or names nothing that exists
-	ExitDenied  = 5 // access denied
-	ExitLater   = 6 // rejected temporarily; retry later
-	ExitTimeout = 7 // the wait or the call timed out
-	ExitState   = 8 // the state of the job or session does not allow the operation
+	ExitOK              = 0
+	ExitError           = 1
+	ExitUsage           = 2
+	ExitFailed          = 3 // the job that was waited for ended as FAILED
+	ExitInvalidArgument = 4 // an argument is invalid or unsupported, or names nothing that exists
+	ExitDenied          = 5 // access denied
+	ExitTryLater        = 6 // rejected temporarily; retry later
+	ExitTimeout         = 7 // the wait or the call timed out
+	ExitInvalidState    = 8 // the state of the job or session does not allow the operation
 )
 
 // errJobFailed reports that the job that was waited for ended as FAILED.
@@ -52,13 +52,13 @@
 	case drmaa.Denied:
 		return ExitDenied
 	case drmaa.TryLater:
-		return ExitLater
+		return ExitTryLater
 	case drmaa.Timeout:
 		return ExitTimeout
 	case drmaa.InvalidState:
-		return ExitState
+		return ExitInvalidState
 	case drmaa.InvalidArgument, drmaa.InvalidSession, drmaa.UnsupportedAttribute, drmaa.UnsupportedOperation:
-		return ExitUnknown
+		return ExitInvalidArgument
 	}
 	return ExitError
 }
--- a/internal/node/batch/jobs/run.go
+++ b/internal/node/batch/jobs/run.go
@@ -254,7 +254,7 @@
 	m.leaveCore(job)
 	job.MayHaveRun = job.MayHaveRun || answer.MayHaveRun
 	defer m.launchQueued()
-	faultinjection.Hit(faultinjection.OutcomeHeard)
+	faultinjection.Hit(faultinjection.OutcomeReceived)
 	switch {
 	case answer.Verdict == routing.Served:
 		job.Result, job.ExitStatus = answer.Result, 0
@@ -353,7 +353,7 @@
 
 // publishEnd makes a job's final state visible and notifies its waiters.
 func (m *Manager) publishEnd(job *Job) {
-	faultinjection.Hit(faultinjection.ShownBefore)
+	faultinjection.Hit(faultinjection.PublishBefore)
 	was := job.State
 	state := job.final.State
 	job.Record, job.final = *job.final, nil
--- a/internal/node/batch/jobs/submit.go
+++ b/internal/node/batch/jobs/submit.go
@@ -280,7 +280,7 @@
 		job.recorded, job.pending = true, nil
 		m.publish(job, drmaa.NewState, "")
 	}
-	faultinjection.Hit(faultinjection.AnswerBefore)
+	faultinjection.Hit(faultinjection.AcknowledgeBefore)
 	pending.answer(pending.ref(), nil)
 	for _, job := range pending.jobs {
 		if job.terminateOnRecord {
--- a/internal/node/faultinjection/fault.go
+++ b/internal/node/faultinjection/fault.go
@@ -17,23 +17,23 @@
 
 // The points, in the order in which a job passes them.
 const (
-	InsertBefore = "insert-before" // before the commit of the job's record
-	InsertAfter  = "insert-after"  // after that commit
-	AnswerBefore = "answer-before" // before the submission is acknowledged
-	MarkBefore   = "mark-before"   // before the commit of the mark that the job may be sent
-	MarkAfter    = "mark-after"    // after that commit
-	GateOpen     = "gate-open"     // before the request is written to the socket
-	BytesWritten = "bytes-written" // after the request was written
-	OutcomeHeard = "outcome-heard" // after the outcome was received
-	FinishBefore = "finish-before" // before the commit of the final state
-	FinishAfter  = "finish-after"  // after that commit
-	ShownBefore  = "shown-before"  // before the final state is visible to clients
+	InsertBefore      = "insert-before" // before the commit of the job's record
+	InsertAfter       = "insert-after"  // after that commit
+	AcknowledgeBefore = "answer-before" // before the submission is acknowledged
+	MarkBefore        = "mark-before"   // before the commit of the mark that the job may be sent
+	MarkAfter         = "mark-after"    // after that commit
+	SendBefore        = "gate-open"     // before the request is written to the socket
+	BytesWritten      = "bytes-written" // after the request was written
+	OutcomeReceived   = "outcome-heard" // after the outcome was received
+	FinishBefore      = "finish-before" // before the commit of the final state
+	FinishAfter       = "finish-after"  // after that commit
+	PublishBefore     = "shown-before"  // before the final state is visible to clients
 )
 
 // Points returns the names of all points.
 func Points() []string {
-	return []string{InsertBefore, InsertAfter, AnswerBefore, MarkBefore, MarkAfter, GateOpen, BytesWritten, OutcomeHeard,
-		FinishBefore, FinishAfter, ShownBefore}
+	return []string{InsertBefore, InsertAfter, AcknowledgeBefore, MarkBefore, MarkAfter, SendBefore, BytesWritten, OutcomeReceived,
+		FinishBefore, FinishAfter, PublishBefore}
 }
 
 // injection is an armed fault.
--- a/internal/node/faultinjection/fault_test.go
+++ b/internal/node/faultinjection/fault_test.go
@@ -33,6 +33,6 @@
 // BenchmarkHit_disarmed measures the cost of passing a point while no fault is armed.
 func BenchmarkHit_disarmed(b *testing.B) {
 	for b.Loop() {
-		Hit(GateOpen)
+		Hit(SendBefore)
 	}
 }
--- a/internal/node/nodeconfig/batch.go
+++ b/internal/node/nodeconfig/batch.go
@@ -43,9 +43,9 @@
 	AdminMaxSockets int `toml:"-"`
 }
 
-// NeedRestart returns the keys whose values differ in the later settings and that take effect only
+// KeysNeedingRestart returns the keys whose values differ in the later settings and that take effect only
 // after a restart.
-func (b Batch) NeedRestart(later Batch) (keys []string) {
+func (b Batch) KeysNeedingRestart(later Batch) (keys []string) {
 	for _, setting := range []struct {
 		key  string
 		same bool
--- a/internal/node/nodeconfig/config.go
+++ b/internal/node/nodeconfig/config.go
@@ -141,9 +141,9 @@
 	return n, nil
 }
 
-// NeedRestart returns the keys whose values differ in the later settings and that take effect only
+// KeysNeedingRestart returns the keys whose values differ in the later settings and that take effect only
 // after a restart. Keys that differ at each start, such as the seed, are not among them.
-func (n *Node) NeedRestart(later *Node) (keys []string) {
+func (n *Node) KeysNeedingRestart(later *Node) (keys []string) {
 	for _, setting := range []struct {
 		key      string
 		old, new any
--- a/internal/node/nodeconfig/config_test.go
+++ b/internal/node/nodeconfig/config_test.go
@@ -83,7 +83,7 @@
 
 // All changes but that of the discovery address require a restart. The seed is not reported, since
 // it differs at each start.
-func TestNode_NeedRestart(t *testing.T) {
+func TestNode_KeysNeedingRestart(t *testing.T) {
 	old, err := Parse([]byte(exampleConfig(t)), emptyEnv)
 	if err != nil {
 		t.Fatalf("parse the example configuration: %v", err)
@@ -99,7 +99,7 @@
 		if err != nil {
 			t.Fatalf("parse with %s instead of %s: %v", c[1], c[0], err)
 		}
-		if got := strings.Join(old.NeedRestart(n), " "); got != c[2] {
+		if got := strings.Join(old.KeysNeedingRestart(n), " "); got != c[2] {
 			t.Errorf("%s instead of %s: got keys %q that need a restart, want %q", c[1], c[0], got, c[2])
 		}
 	}
--- a/internal/node/nodeconfig/fleet.go
+++ b/internal/node/nodeconfig/fleet.go
@@ -21,7 +21,7 @@
 // Enabled is set.
 type Fleet struct {
 	Enabled bool         `toml:"enabled"`
-	Fleet   string       `toml:"fleet"` // name of the fleet, the same in all of its processes
+	Name    string       `toml:"fleet"` // name of the fleet, the same in all of its processes
 	Zone    string       `toml:"zone"`  // zone of this process
 	Voters  []FleetVoter `toml:"voters"`
 	Voter   struct {
@@ -97,7 +97,7 @@
 // validateVoters checks the name of the fleet, the zone of this process and the list of voters.
 func (f *Fleet) validateVoters() error {
 	switch {
-	case f.Fleet == "":
+	case f.Name == "":
 		return errFleetMissing
 	case f.Zone == "":
 		return errZoneMissing
--- a/internal/node/nodeconfig/fleet_test.go
+++ b/internal/node/nodeconfig/fleet_test.go
@@ -53,7 +53,7 @@
 			t.Errorf("%q instead of %q: got error %v, want one with %q", c.new, c.old, err, c.want)
 		}
 	}
-	if f, err := ParseFleet("enabled = false\nfleet = \"\""); err != nil || f.Enabled || f.Fleet != "" {
+	if f, err := ParseFleet("enabled = false\nfleet = \"\""); err != nil || f.Enabled || f.Name != "" {
 		t.Errorf("parse a disabled fleet without a name: got %+v and error %v, want a disabled fleet and no error", f, err)
 	}
 }
--- a/internal/node/routing/steps.go
+++ b/internal/node/routing/steps.go
@@ -180,7 +180,7 @@
 		c.StepEnded(stepHandle, StepEnd{Outcome: balance.NotSent})
 		return
 	}
-	faultinjection.Hit(faultinjection.GateOpen)
+	faultinjection.Hit(faultinjection.SendBefore)
 	c.destinations.Send(stepHandle, s.to, &operation.Work, s.until)
 }
 
