--- a/internal/node/nodeconfig/config_test.go
+++ b/internal/node/nodeconfig/config_test.go
@@ -81,8 +81,8 @@
 	}
 }
 
-// All changes but that of the discovery address require a restart. The seed is not reported, since
-// it differs at each start.
+// All changes but that of the discovery address require a restart. The seed and the cached list are
+// not reported, since they differ at each start.
 func TestNode_KeysNeedingRestart(t *testing.T) {
 	old, err := Parse([]byte(exampleConfig(t)), emptyEnv)
 	if err != nil {
