--- a/drmaa/bulk.go
+++ b/drmaa/bulk.go
@@ -5,45 +5,45 @@
 	"strings"
 )
 
-// MaxBulkJobs is the most jobs of one bulk.
+// MaxBulkJobs is the maximum number of jobs in one bulk submission.
 const MaxBulkJobs = 10_000
 
-// Bulk is a job array to submit: the arguments of runBulkJobs (GFD.194 clause 7.2).
+// Bulk is a bulk submission, which creates a job array: the arguments of runBulkJobs (GFD.194 clause 7.2).
 type Bulk struct {
 	Template    *JobTemplate `json:"jobTemplate"`
 	Begin       int          `json:"beginIndex"`
 	End         int          `json:"endIndex"`
-	Step        int          `json:"step"`                  // 0: one
-	MaxParallel int          `json:"maxParallel,omitempty"` // jobs that run at once; 0: no limit
+	Step        int          `json:"step"`                  // 0: 1
+	MaxParallel int          `json:"maxParallel,omitempty"` // maximum number of jobs running at the same time; 0: no limit
 }
 
-// Validate checks the range. It sets a missing step to 1.
+// Validate checks the index range and the parallelism limit. It sets a missing step to 1.
 func (b *Bulk) Validate() *Error {
 	if b.Step == 0 {
 		b.Step = 1
 	}
-	const far = 1 << 30
+	const maxIndex = 1 << 30
 	switch {
 	case b.Template == nil:
-		return InvalidArgumentError("jobTemplate", "missing")
-	case b.Begin < 1 || b.Begin > far:
-		return InvalidArgumentError("beginIndex", "not from 1 to %d", far)
-	case b.End < b.Begin || b.End > far:
-		return InvalidArgumentError("endIndex", "not from beginIndex to %d", far)
+		return InvalidArgumentError("jobTemplate", "is missing")
+	case b.Begin < 1 || b.Begin > maxIndex:
+		return InvalidArgumentError("beginIndex", "%d is not from 1 to %d", b.Begin, maxIndex)
+	case b.End < b.Begin || b.End > maxIndex:
+		return InvalidArgumentError("endIndex", "%d is not from beginIndex to %d", b.End, maxIndex)
 	case b.Step < 1:
-		return InvalidArgumentError("step", "under 1")
+		return InvalidArgumentError("step", "%d is below 1", b.Step)
 	case b.MaxParallel < 0:
-		return InvalidArgumentError("maxParallel", "under 0")
+		return InvalidArgumentError("maxParallel", "%d is below 0", b.MaxParallel)
 	case b.Count() > MaxBulkJobs:
-		return InvalidArgumentError("endIndex", "%d jobs, over %d", b.Count(), MaxBulkJobs)
+		return InvalidArgumentError("endIndex", "the range has %d jobs; the maximum is %d", b.Count(), MaxBulkJobs)
 	}
 	return nil
 }
 
-// Count returns the number of jobs.
+// Count returns the number of jobs in the range.
 func (b *Bulk) Count() int { return (b.End-b.Begin)/b.Step + 1 }
 
-// Digest returns the digest of the template and the range.
+// Digest returns a hash of the template, the index range and the parallelism limit.
 func (b *Bulk) Digest() string {
 	parts := []string{"bulk"}
 	for _, n := range []int{b.Begin, b.End, b.Step, b.MaxParallel} {
@@ -52,10 +52,11 @@
 	return b.Template.Digest(strings.Join(parts, " "))
 }
 
-// JobID returns the ID of an array's job: the array's ID and the index.
+// JobID returns the ID of the job with the given index in an array.
 func JobID(array string, index int) string { return array + "." + strconv.Itoa(index) }
 
-// SplitJobID returns the array and the index in a job's ID; "" and 0 for a single job.
+// SplitJobID returns the array ID and the index that a job ID contains, or "" and 0 if the job belongs to
+// no array.
 func SplitJobID(id string) (array string, index int) {
 	array, digits, ok := strings.Cut(id, ".")
 	n, err := strconv.Atoi(digits)
--- a/drmaa/client/admin.go
+++ b/drmaa/client/admin.go
@@ -8,73 +8,73 @@
 	"ospreybend/drmaa"
 )
 
-// Admin is a client of the batch front's administration.
+// Admin is a client of the administration API of the batch API.
 type Admin struct{ client *Client }
 
-// NewAdmin returns a client of the administration. base is its address.
+// NewAdmin returns a client of the administration API at address base, such as http://127.0.0.1:8091.
 func NewAdmin(base, token string, options ...Option) (*Admin, error) {
 	c, err := New(base, token, options...)
 	return &Admin{c}, err
 }
 
-// Tenant is a tenant as the administration shows it.
+// Tenant is a tenant as the administration API shows it.
 type Tenant struct {
 	Name       string `json:"name"`
 	Quota      int    `json:"maxUnfinishedJobs"`
 	Unfinished int    `json:"unfinishedJobs"`
-	Token      string `json:"token,omitempty"` // shown once, when it is created
+	Token      string `json:"token,omitempty"` // present only in the response that creates the token
 }
 
-const tenants = "/admin/v1/tenants"
+const tenantsPath = "/admin/v1/tenants"
 
 // Tenants returns all tenants.
 func (a *Admin) Tenants(ctx context.Context) ([]Tenant, error) {
 	var out struct{ Tenants []Tenant }
-	return out.Tenants, a.client.do(ctx, getCall(tenants, &out))
+	return out.Tenants, a.client.do(ctx, getCall(tenantsPath, &out))
 }
 
-// createRequest is the body of a call that creates a tenant.
+// createRequest is the body of the call that creates a tenant.
 type createRequest struct {
 	Quota int    `json:"maxUnfinishedJobs"`
 	Name  string `json:"name"`
 }
 
-// quotaRequest is the body of a call that changes a tenant's quota.
+// quotaRequest is the body of the call that sets a tenant's quota.
 type quotaRequest struct {
 	Quota int `json:"maxUnfinishedJobs"`
 }
 
-// settleRequest is the body of a call that settles an undecided job.
+// settleRequest is the body of the call that settles an undecided job.
 type settleRequest struct {
 	Ran    bool   `json:"ran"`
 	Reason string `json:"reason"`
 }
 
-// Create creates a tenant and its token.
+// Create creates a tenant. The result has its token.
 func (a *Admin) Create(ctx context.Context, name string, quota int) (*Tenant, error) {
 	var t Tenant
-	return &t, a.client.do(ctx, apiCall{method: "POST", path: tenants, in: createRequest{Quota: quota, Name: name}, out: &t})
+	return &t, a.client.do(ctx, apiCall{method: "POST", path: tenantsPath, in: createRequest{Quota: quota, Name: name}, out: &t})
 }
 
-// SetQuota changes how many unfinished jobs a tenant may have.
+// SetQuota sets the maximum number of unfinished jobs of a tenant.
 func (a *Admin) SetQuota(ctx context.Context, name string, quota int) (*Tenant, error) {
 	var t Tenant
-	return &t, a.client.do(ctx, apiCall{method: "PUT", path: tenants + "/" + url.PathEscape(name),
+	return &t, a.client.do(ctx, apiCall{method: "PUT", path: tenantsPath + "/" + url.PathEscape(name),
 		in: quotaRequest{quota}, out: &t, retryable: true})
 }
 
-// Rotate replaces a tenant's token.
+// Rotate replaces a tenant's token. The result has the new one.
 func (a *Admin) Rotate(ctx context.Context, name string) (*Tenant, error) {
 	var t Tenant
-	return &t, a.client.do(ctx, apiCall{method: "POST", path: tenants + "/" + url.PathEscape(name) + "/token", out: &t})
+	return &t, a.client.do(ctx, apiCall{method: "POST", path: tenantsPath + "/" + url.PathEscape(name) + "/token", out: &t})
 }
 
-// Remove disables a tenant. Its submitted jobs run to their end.
+// Remove disables a tenant. The jobs that it has submitted still run to their end.
 func (a *Admin) Remove(ctx context.Context, name string) error {
-	return a.client.do(ctx, apiCall{method: "DELETE", path: tenants + "/" + url.PathEscape(name), retryable: true})
+	return a.client.do(ctx, apiCall{method: "DELETE", path: tenantsPath + "/" + url.PathEscape(name), retryable: true})
 }
 
-// Queue is the state of the batch front in numbers.
+// Queue has the counters and the state of the batch API.
 type Queue struct {
 	Unfinished int    `json:"unfinished"`
 	Queued     int    `json:"queued"`
@@ -90,19 +90,19 @@
 	} `json:"window"`
 }
 
-// Queue returns the state of the batch front in numbers.
+// Queue returns the counters and the state of the batch API.
 func (a *Admin) Queue(ctx context.Context) (*Queue, error) {
 	var q Queue
 	return &q, a.client.do(ctx, getCall("/admin/v1/queue", &q))
 }
 
-// Undecided iterates over the jobs that have FAILED, may have run, must not run twice and are not
+// Undecided iterates over the jobs that have failed, may have run, must not run twice and are not yet
 // settled, oldest first.
 func (a *Admin) Undecided(ctx context.Context) iter.Seq2[*drmaa.Job, error] {
 	return a.client.pages(ctx, "/admin/v1/undecided", drmaa.Filter{})
 }
 
-// Settle records the decision on an undecided job, once.
+// Settle records an operator's decision whether an undecided job has run. It can be recorded only once.
 func (a *Admin) Settle(ctx context.Context, id string, ran bool, reason string) error {
 	return a.client.do(ctx, apiCall{method: "POST", path: "/admin/v1/jobs/" + url.PathEscape(id) + "/settle",
 		in: settleRequest{Ran: ran, Reason: reason}})
--- a/drmaa/client/client.go
+++ b/drmaa/client/client.go
@@ -1,7 +1,6 @@
-// Package client is a client of the batch front over HTTP. Calls take a context, honour
-// Retry-After, and are retried with backoff where that is safe: reads and waits always,
-// submissions under their client key. Its types are safe for concurrent use. The program's own
-// commands (package cli) use it.
+// Package client is a client of the batch API over HTTP. Calls take a context, honour Retry-After,
+// and are retried with backoff where that is safe: reads and waits always, submissions under their
+// client key. Its types are safe for concurrent use. The program's own commands (package cli) use it.
 package client
 
 import (
@@ -26,11 +25,11 @@
 const (
 	initialBackoff   = 50 * time.Millisecond
 	maxBackoff       = 5 * time.Second
-	maxServerWait    = 30 * time.Second // of one wait call; longer waits are repeated
+	maxServerWait    = 30 * time.Second // timeout of one wait call; a longer wait takes several calls
 	maxResponseBytes = 64 << 20
 )
 
-// Client is one tenant's client of a batch front.
+// Client is one tenant's client of the batch API.
 type Client struct {
 	base        string
 	token       string
@@ -41,11 +40,11 @@
 // Option configures a client.
 type Option func(*Client)
 
-// WithHTTP makes the client use an HTTP client. Its timeout must be none or over half a minute,
-// the duration of a wait call.
+// WithHTTP sets the HTTP client to use. If it has a timeout, it must be over 30 s, the maximum duration
+// of a wait call.
 func WithHTTP(h *http.Client) Option { return func(c *Client) { c.http = h } }
 
-// WithMaxAttempts sets the most attempts of a call that may be retried. Without it a call is retried
+// WithMaxAttempts limits the attempts of a call that may be retried. Without it, such a call is retried
 // until its context ends.
 func WithMaxAttempts(n int) Option { return func(c *Client) { c.maxAttempts = n } }
 
@@ -53,7 +52,7 @@
 func New(base, token string, options ...Option) (*Client, error) {
 	u, err := url.Parse(base)
 	if err != nil || u.Host == "" || u.Scheme != "http" && u.Scheme != "https" {
-		return nil, fmt.Errorf("%q is no address of a server: wants http://HOST:PORT", base)
+		return nil, fmt.Errorf("%q is not a server address: want http://HOST:PORT", base)
 	}
 	c := &Client{base: strings.TrimRight(base, "/"), token: token, http: &http.Client{}}
 	for _, o := range options {
@@ -62,38 +61,38 @@
 	return c, nil
 }
 
-// apiCall is one call.
+// apiCall describes one call of the API.
 type apiCall struct {
 	method, path string
 	in, out      any
-	retryable    bool // safe to retry after a failure that leaves its effect open
+	retryable    bool // safe to retry after a failure that leaves unknown whether it had an effect
 }
 
-// do makes a call, with retries.
+// do makes a call and retries it as far as that is safe.
 func (c *Client) do(ctx context.Context, call apiCall) error {
-	pause := backoff.NewExponentialBackOff()
-	pause.InitialInterval, pause.MaxInterval = initialBackoff, maxBackoff
+	delays := backoff.NewExponentialBackOff()
+	delays.InitialInterval, delays.MaxInterval = initialBackoff, maxBackoff
 	for attempt := 1; ; attempt++ {
 		err := c.doOnce(ctx, call)
 		if err == nil {
 			return nil
 		}
 		var e *drmaa.Error
-		answered := errors.As(err, &e)
+		hasResponse := errors.As(err, &e)
 		switch {
 		case ctx.Err() != nil:
 			return errors.Join(ctx.Err(), err)
 		case c.maxAttempts > 0 && attempt >= c.maxAttempts:
 			return err
-		case answered && e.Name == drmaa.TryLater:
-			// It had no effect: a retry is safe.
-		case !answered && call.retryable:
+		case hasResponse && e.Name == drmaa.TryLater:
+			// The server rejected the call without any effect: a retry is safe.
+		case !hasResponse && call.retryable:
 		default:
 			return err
 		}
-		wait := pause.NextBackOff()
-		if answered && e.RetryAfter > 0 {
-			wait = e.RetryAfter + wait/4 // jitter: others were told the same time
+		wait := delays.NextBackOff()
+		if hasResponse && e.RetryAfter > 0 {
+			wait = e.RetryAfter + wait/4 // jitter, because other clients were given the same Retry-After
 		}
 		select {
 		case <-ctx.Done():
@@ -124,56 +123,56 @@
 	return c.http.Do(r)
 }
 
-// doOnce makes one attempt of a call.
+// doOnce makes a call with a single attempt.
 func (c *Client) doOnce(ctx context.Context, call apiCall) error {
-	answer, err := c.request(ctx, call.method, call.path, call.in)
+	response, err := c.request(ctx, call.method, call.path, call.in)
 	if err != nil {
 		return err
 	}
-	defer answer.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(answer.Body, maxResponseBytes))
+	defer response.Body.Close()
+	text, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
-		return fmt.Errorf("the answer broke off: %w", err)
+		return fmt.Errorf("read the response: %w", err)
 	}
-	if answer.StatusCode >= 300 {
-		return responseError(answer, text)
+	if response.StatusCode >= 300 {
+		return responseError(response, text)
 	}
 	if call.out == nil || len(text) == 0 {
 		return nil
 	}
 	if err := json.Unmarshal(text, call.out); err != nil {
-		return fmt.Errorf("the answer cannot be read: %w", err)
+		return fmt.Errorf("decode the response: %w", err)
 	}
 	return nil
 }
 
-// responseError returns the error of an HTTP response.
-func responseError(answer *http.Response, text []byte) error {
-	e := &drmaa.Error{Status: answer.StatusCode}
+// responseError returns the error that an HTTP response stands for.
+func responseError(response *http.Response, text []byte) error {
+	e := &drmaa.Error{Status: response.StatusCode}
 	if json.Unmarshal(text, e) != nil || e.Name == "" {
-		if answer.StatusCode != http.StatusServiceUnavailable {
-			return &drmaa.Error{Status: answer.StatusCode, Name: drmaa.Communication,
-				Message: "status " + answer.Status + " with no error of the binding's"}
+		if response.StatusCode != http.StatusServiceUnavailable {
+			return &drmaa.Error{Status: response.StatusCode, Name: drmaa.Communication,
+				Message: "the server responded with status " + response.Status + " and no error document"}
 		}
-		e.Name, e.Message = drmaa.TryLater, "the server has no room" // of the HTTP server, before the binding
+		e.Name, e.Message = drmaa.TryLater, "the server is at capacity" // sent by the HTTP server itself, before the binding sees the request
 	}
-	if s, err := strconv.ParseFloat(answer.Header.Get("Retry-After"), 64); err == nil && s > 0 {
+	if s, err := strconv.ParseFloat(response.Header.Get("Retry-After"), 64); err == nil && s > 0 {
 		e.RetryAfter = time.Duration(s * float64(time.Second))
 	}
 	return e
 }
 
-const root = "/drmaa/v2"
+const apiRoot = "/drmaa/v2"
 
-// getCall returns a call that reads a document.
+// getCall returns the call that reads the document at path into out.
 func getCall(path string, out any) apiCall {
 	return apiCall{method: "GET", path: path, out: out, retryable: true}
 }
 
-// Manager returns the session manager's attributes, supports() among them.
+// Manager returns the attributes of the service, with the results of supports().
 func (c *Client) Manager(ctx context.Context) (*drmaa.Manager, error) {
 	var m drmaa.Manager
-	return &m, c.do(ctx, getCall(root, &m))
+	return &m, c.do(ctx, getCall(apiRoot, &m))
 }
 
 // Sessions returns the tenant's job sessions.
@@ -181,10 +180,10 @@
 	var out struct {
 		Sessions []drmaa.Session `json:"x_sessions"`
 	}
-	return out.Sessions, c.do(ctx, getCall(root+"/sessions", &out))
+	return out.Sessions, c.do(ctx, getCall(apiRoot+"/sessions", &out))
 }
 
-// CreateSession is createJobSession: the session must not exist.
+// CreateSession is createJobSession: the session must not exist yet.
 func (c *Client) CreateSession(ctx context.Context, name string) (*Session, error) {
 	return c.session(ctx, name, "create")
 }
@@ -194,40 +193,41 @@
 	return c.session(ctx, name, "open")
 }
 
-// EnsureSession creates a session or opens it, as needed.
+// EnsureSession opens a session, and creates it if it does not exist.
 func (c *Client) EnsureSession(ctx context.Context, name string) (*Session, error) {
 	return c.session(ctx, name, "")
 }
 
-// sessionRequest is the body of a call that creates or opens a session.
+// sessionRequest is the body of the call that creates or opens a session.
 type sessionRequest struct {
 	Mode string `json:"mode"`
 	Name string `json:"name"`
 }
 
-// session creates or opens a session by mode.
+// session creates or opens a session: mode is "create", "open", or "" for either.
 func (c *Client) session(ctx context.Context, name, mode string) (*Session, error) {
 	in := sessionRequest{Name: name, Mode: mode}
-	err := c.do(ctx, apiCall{method: "POST", path: root + "/sessions", in: in, retryable: mode != "create"})
+	err := c.do(ctx, apiCall{method: "POST", path: apiRoot + "/sessions", in: in, retryable: mode != "create"})
 	return c.Session(name), err
 }
 
-// Session returns a session by its name, without a call.
+// Session returns the session with the given name. It makes no call and does not check that the session
+// exists.
 func (c *Client) Session(name string) *Session {
-	return &Session{client: c, Name: name, path: root + "/sessions/" + url.PathEscape(name)}
+	return &Session{client: c, Name: name, path: apiRoot + "/sessions/" + url.PathEscape(name)}
 }
 
-// Queues returns the classes of jobs.
+// Queues returns the job classes.
 func (c *Client) Queues(ctx context.Context) ([]drmaa.Queue, error) {
 	var out struct{ Queues []drmaa.Queue }
-	return out.Queues, c.do(ctx, getCall(root+"/monitoring/queues", &out))
+	return out.Queues, c.do(ctx, getCall(apiRoot+"/monitoring/queues", &out))
 }
 
 // Machines returns the prep workers.
 func (c *Client) Machines(ctx context.Context) ([]drmaa.Machine, error) {
 	var out struct{ Machines []drmaa.Machine }
-	return out.Machines, c.do(ctx, getCall(root+"/monitoring/machines", &out))
+	return out.Machines, c.do(ctx, getCall(apiRoot+"/monitoring/machines", &out))
 }
 
-// newClientKey returns a random client key, under which a submission can be retried.
+// newClientKey returns a random client key, which makes retries of a submission safe.
 func newClientKey() string { return "auto-" + rand.Text() }
--- a/drmaa/client/session.go
+++ b/drmaa/client/session.go
@@ -23,7 +23,7 @@
 	path   string
 }
 
-// actionRequest is the body of a control call.
+// actionRequest is the body of the calls that control a session, a job or an array.
 type actionRequest struct {
 	Action string `json:"action"`
 }
@@ -36,11 +36,11 @@
 // Close is closeJobSession. The session's jobs continue.
 func (s *Session) Close(ctx context.Context) error { return s.control(ctx, "close") }
 
-// Destroy is destroyJobSession: unfinished jobs are terminated, and all are reaped.
+// Destroy is destroyJobSession: unfinished jobs are terminated, and all jobs are reaped.
 func (s *Session) Destroy(ctx context.Context) error { return s.control(ctx, "destroy") }
 
-// Run is runJob. A template without a client key gets one, so that a retry after a lost answer does
-// not submit a second job.
+// Run is runJob. A template without a client key gets one, so that a retry after a lost response
+// does not submit a second job.
 func (s *Session) Run(ctx context.Context, t drmaa.JobTemplate) (*drmaa.Job, error) {
 	if t.ClientKey == "" {
 		t.ClientKey = newClientKey()
@@ -66,19 +66,19 @@
 	return &a, s.client.do(ctx, apiCall{method: "POST", path: s.path + "/arrays", in: b, out: &a, retryable: true})
 }
 
-func (s *Session) job(id string) string   { return s.path + "/jobs/" + url.PathEscape(id) }
-func (s *Session) array(id string) string { return s.path + "/arrays/" + url.PathEscape(id) }
+func (s *Session) jobPath(id string) string   { return s.path + "/jobs/" + url.PathEscape(id) }
+func (s *Session) arrayPath(id string) string { return s.path + "/arrays/" + url.PathEscape(id) }
 
-// Job returns a job as it is now.
+// Job returns the current information on a job.
 func (s *Session) Job(ctx context.Context, id string) (*drmaa.Job, error) {
 	var j drmaa.Job
-	return &j, s.client.do(ctx, getCall(s.job(id), &j))
+	return &j, s.client.do(ctx, getCall(s.jobPath(id), &j))
 }
 
-// Array returns a job array as it is now.
+// Array returns the current information on a job array.
 func (s *Session) Array(ctx context.Context, id string) (*drmaa.Array, error) {
 	var a drmaa.Array
-	return &a, s.client.do(ctx, getCall(s.array(id), &a))
+	return &a, s.client.do(ctx, getCall(s.arrayPath(id), &a))
 }
 
 // Jobs is getJobs: it iterates over all matching jobs, newest first, and fetches them page by page.
@@ -89,10 +89,10 @@
 
 // Jobs is the monitoring session's getAllJobs: it iterates over the jobs of all sessions.
 func (c *Client) Jobs(ctx context.Context, f drmaa.Filter) iter.Seq2[*drmaa.Job, error] {
-	return c.pages(ctx, root+"/monitoring/jobs", f)
+	return c.pages(ctx, apiRoot+"/monitoring/jobs", f)
 }
 
-// pages iterates over the jobs of a list.
+// pages iterates over the jobs of the list at path, page by page.
 func (c *Client) pages(ctx context.Context, path string, filter drmaa.Filter) iter.Seq2[*drmaa.Job, error] {
 	return func(yield func(*drmaa.Job, error) bool) {
 		query := filter.Query()
@@ -119,38 +119,38 @@
 
 // Act performs an action on a job: hold, release, terminate or reap.
 func (s *Session) Act(ctx context.Context, id, action string) error {
-	return s.client.do(ctx, apiCall{method: "POST", path: s.job(id) + "/control", in: actionRequest{action}})
+	return s.client.do(ctx, apiCall{method: "POST", path: s.jobPath(id) + "/control", in: actionRequest{action}})
 }
 
 // ActOnArray performs an action on all jobs of an array whose state allows it.
 func (s *Session) ActOnArray(ctx context.Context, id, action string) (*drmaa.Affected, error) {
 	var n drmaa.Affected
-	return &n, s.client.do(ctx, apiCall{method: "POST", path: s.array(id) + "/control", in: actionRequest{action}, out: &n})
+	return &n, s.client.do(ctx, apiCall{method: "POST", path: s.arrayPath(id) + "/control", in: actionRequest{action}, out: &n})
 }
 
-// The events that a wait may be for.
+// The conditions that a wait can be for.
 const (
 	Started       = "started"
 	Terminated    = "terminated"
-	AllTerminated = "allTerminated" // of an array
+	AllTerminated = "allTerminated" // only for an array
 )
 
-// waitBody is the body of a wait call. Timeout is in seconds.
-type waitBody struct {
-	Timeout float64  `json:"timeout"`
+// waitRequest is the body of a wait call.
+type waitRequest struct {
+	Timeout float64  `json:"timeout"` // seconds
 	For     string   `json:"for"`
 	Jobs    []string `json:"jobs,omitempty"`
 	Array   string   `json:"array,omitempty"`
 }
 
-// wait repeats a wait call until it is answered or the context ends.
-func (s *Session) wait(ctx context.Context, path string, b waitBody, out any) error {
+// wait repeats a wait call until the condition holds or the context ends.
+func (s *Session) wait(ctx context.Context, path string, b waitRequest, out any) error {
 	for {
-		span := maxServerWait
+		serverWait := maxServerWait
 		if end, ok := ctx.Deadline(); ok {
-			span = min(span, max(time.Until(end)-100*time.Millisecond, 0))
+			serverWait = min(serverWait, max(time.Until(end)-100*time.Millisecond, 0))
 		}
-		b.Timeout = span.Seconds()
+		b.Timeout = serverWait.Seconds()
 		err := s.client.do(ctx, apiCall{method: "POST", path: path, in: b, out: out, retryable: true})
 		if !errors.Is(err, &drmaa.Error{Name: drmaa.Timeout}) {
 			return err
@@ -161,37 +161,37 @@
 	}
 }
 
-// Wait is waitStarted or waitTerminated of a job. A TimeoutException means that
-// the context's deadline came first; the job goes on.
+// Wait is waitStarted or waitTerminated of a job: what is Started or Terminated. A TimeoutException
+// means that the context's deadline came first; the job continues.
 func (s *Session) Wait(ctx context.Context, id, what string) (*drmaa.Job, error) {
 	var j drmaa.Job
-	return &j, s.wait(ctx, s.job(id)+"/wait", waitBody{For: what}, &j)
+	return &j, s.wait(ctx, s.jobPath(id)+"/wait", waitRequest{For: what}, &j)
 }
 
-// WaitAny is waitAnyStarted or waitAnyTerminated: over the jobs named, over an array's, or if
-// neither is given over all of the session. It returns one that has started or ended.
+// WaitAny is waitAnyStarted or waitAnyTerminated. It waits for one of the jobs ids, for one of an
+// array's, or, if neither is given, for any of the session, and returns one that has started or ended.
 func (s *Session) WaitAny(ctx context.Context, what, array string, ids ...string) (*drmaa.Job, error) {
 	var j drmaa.Job
-	return &j, s.wait(ctx, s.path+"/wait", waitBody{For: what, Jobs: ids, Array: array}, &j)
+	return &j, s.wait(ctx, s.path+"/wait", waitRequest{For: what, Jobs: ids, Array: array}, &j)
 }
 
-// WaitArray waits for the end of all jobs of an array.
+// WaitArray waits until all jobs of an array have ended.
 func (s *Session) WaitArray(ctx context.Context, id string) (*drmaa.Array, error) {
 	var a drmaa.Array
-	return &a, s.wait(ctx, s.array(id)+"/wait", waitBody{For: AllTerminated}, &a)
+	return &a, s.wait(ctx, s.arrayPath(id)+"/wait", waitRequest{For: AllTerminated}, &a)
 }
 
-// Events follows the session's events from a cursor on; empty: from now, "oldest": from the oldest
-// retained. A broken connection is reopened at the last cursor, which each element has. Missed
-// counts events that were dropped before they were read. It ends with the context, or after an
-// error that a new connection would not resolve.
+// Events iterates over the session's events after a cursor. An empty cursor starts at the present,
+// "oldest" at the oldest event that the server retains. A broken connection is reopened at the last
+// cursor; each element has its cursor. Missed counts events that were dropped before they were read.
+// The iteration ends with the context, or after an error that a new connection would not resolve.
 func (s *Session) Events(ctx context.Context, cursor string) iter.Seq2[*drmaa.Events, error] {
 	return func(yield func(*drmaa.Events, error) bool) {
-		pause := backoff.NewExponentialBackOff()
-		pause.InitialInterval, pause.MaxInterval = initialBackoff, maxBackoff
+		delays := backoff.NewExponentialBackOff()
+		delays.InitialInterval, delays.MaxInterval = initialBackoff, maxBackoff
 		for {
-			more, err := s.follow(ctx, &cursor, func(e *drmaa.Events) bool {
-				pause.Reset()
+			more, err := s.readStream(ctx, &cursor, func(e *drmaa.Events) bool {
+				delays.Reset()
 				return yield(e, nil)
 			})
 			var e *drmaa.Error
@@ -205,32 +205,32 @@
 			select {
 			case <-ctx.Done():
 				return
-			case <-time.After(pause.NextBackOff()):
+			case <-time.After(delays.NextBackOff()):
 			}
 		}
 	}
 }
 
-// follow reads the lines of one connection to its end. more is false if each returned false.
-func (s *Session) follow(ctx context.Context, cursor *string, each func(*drmaa.Events) bool) (more bool, err error) {
-	answer, err := s.client.request(ctx, "GET", s.path+"/events?stream=1&cursor="+url.QueryEscape(*cursor), nil)
+// readStream reads the lines of one connection to its end. more is false if handle returned false.
+func (s *Session) readStream(ctx context.Context, cursor *string, handle func(*drmaa.Events) bool) (more bool, err error) {
+	response, err := s.client.request(ctx, "GET", s.path+"/events?stream=1&cursor="+url.QueryEscape(*cursor), nil)
 	if err != nil {
 		return true, err
 	}
-	defer answer.Body.Close()
-	if answer.StatusCode != 200 {
-		text, _ := io.ReadAll(io.LimitReader(answer.Body, maxResponseBytes))
-		return true, responseError(answer, text)
+	defer response.Body.Close()
+	if response.StatusCode != 200 {
+		text, _ := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
+		return true, responseError(response, text)
 	}
-	lines := bufio.NewScanner(answer.Body)
+	lines := bufio.NewScanner(response.Body)
 	lines.Buffer(nil, 1<<20)
 	for lines.Scan() {
 		var e drmaa.Events
 		if err := json.Unmarshal(lines.Bytes(), &e); err != nil {
-			return true, fmt.Errorf("a line of the stream cannot be read: %w", err)
+			return true, fmt.Errorf("decode a line of the event stream: %w", err)
 		}
 		*cursor = e.Cursor
-		if (len(e.Events) > 0 || e.Missed != 0) && !each(&e) {
+		if (len(e.Events) > 0 || e.Missed != 0) && !handle(&e) {
 			return false, nil
 		}
 	}
--- a/drmaa/compatibility_test.go
+++ b/drmaa/compatibility_test.go
@@ -7,7 +7,7 @@
 	"ospreybend/internal/testkit/golden"
 )
 
-// compatibilityRows are the documents of the batch API.
+// compatibilityRows returns one row for each document type of the batch API.
 func compatibilityRows() []golden.Row {
 	return []golden.Row{
 		golden.FilledJSON[drmaa.JobTemplate]("job-template.json"),
@@ -25,4 +25,5 @@
 	}
 }
 
+// The JSON documents must stay compatible with those that version 8782861 wrote.
 func TestDocuments_asVersion8782861(t *testing.T) { golden.Check(t, compatibilityRows()) }
--- a/drmaa/drmaa_test.go
+++ b/drmaa/drmaa_test.go
@@ -12,7 +12,7 @@
 	"pgregory.net/rapid"
 )
 
-// The cases drawn are the same in each run; -rapid.seed=0 draws others.
+// A fixed seed makes every run draw the same cases; -rapid.seed=0 draws others.
 func init() { _ = flag.Set("rapid.seed", "20261201") }
 
 var (
@@ -54,7 +54,7 @@
 	} {
 		_, e := ReadTemplate([]byte(c.body), classes, now)
 		if e == nil || e.Attribute != c.attribute || e.Status != c.status || e.Message == "" {
-			t.Errorf("%s: %+v", c.body, e)
+			t.Errorf("reading template %s: got error %+v, want status %d, attribute %q and a message", c.body, e, c.status, c.attribute)
 		}
 	}
 }
@@ -66,22 +66,25 @@
 		t.Fatal(e)
 	}
 	if got := in.Target("7"); got != "/pruefen/a%20b/p-7" || in.Body("7") != "x7" || in.Body("") != "x$DRMAA_INDEX$" {
-		t.Error(got)
+		t.Errorf("path for index 7 %q, body for index 7 %q, body for no index %q; want /pruefen/a%%20b/p-7, x7 and x$DRMAA_INDEX$",
+			got, in.Body("7"), in.Body(""))
 	}
 	if in.Start() != now.Add(time.Hour).UnixMicro() || in.End(5) != now.Add(2*time.Hour).UnixMicro() || in.Slots() != 1 {
-		t.Errorf("start %d, end %d", in.Start(), in.End(5))
+		t.Errorf("start %d, deadline %d, %v slots; want %d, %d and 1 slot", in.Start(), in.End(5), in.Slots(),
+			now.Add(time.Hour).UnixMicro(), now.Add(2*time.Hour).UnixMicro())
 	}
-	if (&JobTemplate{Deadline: 2}).End(5) != 2_000_005 {
-		t.Error("deadline in seconds")
+	if got := (&JobTemplate{Deadline: 2}).End(5); got != 2_000_005 {
+		t.Errorf("deadline of a job submitted at 5 µs with a deadline of 2 s: got %d µs, want 2000005 µs", got)
 	}
 	first, again := in.Digest(""), in.Digest("")
 	if first == in.Digest("x") || first != again {
-		t.Error("digest")
+		t.Errorf("digests %s and %s of one template, %s with extra contents; want the first two equal, the third different",
+			first, again, in.Digest("x"))
 	}
 }
 
-// Any document is read or rejected as a template, and one that is read can be read again after
-// encoding.
+// Any document is either rejected with status 400 or 422 or read as a template, and a template that was
+// read is read again after encoding, with the same digest.
 func FuzzReadTemplate(f *testing.F) {
 	f.Add([]byte(`{"remoteCommand":"buchen","args":["a"],"minSlots":2}`))
 	f.Add([]byte(`{"remoteCommand":"pruefen","startTime":"2026-12-01T14:00:00Z","x_costHint":1e3}`))
@@ -89,7 +92,7 @@
 		in, e := ReadTemplate(body, classes, now)
 		if e != nil {
 			if e.Status != 400 && e.Status != 422 {
-				t.Errorf("%+v", e)
+				t.Errorf("rejected with %+v, want status 400 or 422", e)
 			}
 			return
 		}
@@ -99,7 +102,7 @@
 		}
 		again, e := ReadTemplate(text, classes, now)
 		if e != nil || again.Digest("") != in.Digest("") || !strings.HasPrefix(in.Target("1"), "/"+in.RemoteCommand) || strings.ContainsAny(in.Target("1"), " \r\n") {
-			t.Errorf("%s: %v", text, e)
+			t.Errorf("reading the encoded template %s again: error %v, path %q", text, e, in.Target("1"))
 		}
 	})
 }
@@ -117,18 +120,18 @@
 		{Bulk{Begin: 1, End: 1, MaxParallel: -1, Template: template}, "maxParallel", 0}, {Bulk{Begin: 1, End: 1}, "jobTemplate", 0}} {
 		e := c.b.Validate()
 		if c.attribute == "" && (e != nil || c.b.Count() != c.n) || c.attribute != "" && (e == nil || e.Attribute != c.attribute) {
-			t.Errorf("%+v: %v", c.b, e)
+			t.Errorf("validating %+v: got error %v, want attribute %q; if valid, want %d jobs", c.b, e, c.attribute, c.n)
 		}
 	}
 	if array, index := SplitJobID(JobID("a1", 7)); array != "a1" || index != 7 {
-		t.Error(array, index)
+		t.Errorf("splitting the ID of job 7 of array a1: got array %q, index %d", array, index)
 	}
 	if array, _ := SplitJobID("a1"); array != "" {
-		t.Error(array)
+		t.Errorf("splitting the ID of a single job: got array %q, want none", array)
 	}
 }
 
-// A filter is unchanged by its form as a query.
+// Encoding a filter as a query and reading that query returns the same filter.
 func TestReadFilter_readsQuery(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		stamp := func(name string) int64 { return rapid.Int64Range(0, 4e15).Draw(t, name) }
@@ -144,7 +147,7 @@
 			f.States = nil
 		}
 		if e != nil || !reflect.DeepEqual(got, f) {
-			t.Fatalf("%+v came as %+v: %v", f, got, e)
+			t.Fatalf("reading the query of %+v: got %+v, error %v", f, got, e)
 		}
 	})
 }
@@ -154,21 +157,23 @@
 	for _, from := range States() {
 		for _, to := range States() {
 			if from.Final() && from.MayBecome(to) {
-				t.Errorf("%s may become %s", from, to)
+				t.Errorf("final state %s may become %s", from, to)
 			}
 		}
 		if from.Waiting() && (from.Hold().Release() != from.Release() || !from.MayBecome(Failed)) {
-			t.Errorf("%s: hold %s, release %s", from, from.Hold(), from.Release())
+			t.Errorf("%s: hold gives %s, release gives %s, may become FAILED: %v; want hold and release to agree and FAILED to be allowed",
+				from, from.Hold(), from.Release(), from.MayBecome(Failed))
 		}
 	}
 	if State("ASLEEP").Known() || !Requeued.Waiting() || Running.Waiting() || !RequeuedHeld.Held() {
-		t.Error("kinds of states")
+		t.Errorf("ASLEEP known: %v, REQUEUED waiting: %v, RUNNING waiting: %v, REQUEUED_HELD held: %v; want false, true, false, true",
+			State("ASLEEP").Known(), Requeued.Waiting(), Running.Waiting(), RequeuedHeld.Held())
 	}
 }
 
 func TestError_Is_matchesByName(t *testing.T) {
 	err := error(InvalidStateError("the job is %s", Done))
 	if !errors.Is(err, &Error{Name: InvalidState}) || errors.Is(err, &Error{Name: Timeout}) || err.Error() != "InvalidStateException: the job is DONE" {
-		t.Error(err)
+		t.Errorf("got %v; want it to match InvalidStateException only, with the text InvalidStateException: the job is DONE", err)
 	}
 }
--- a/drmaa/errors.go
+++ b/drmaa/errors.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Name is the name of an exception (GFD.194 clause 5).
+// Name is the name of a DRMAA exception (GFD.194 clause 5).
 type Name string
 
-// The exceptions that the binding uses.
+// The exceptions that the HTTP binding uses.
 const (
 	Denied               Name = "DeniedByDrmsException"
 	Communication        Name = "DrmCommunicationException"
@@ -23,48 +23,49 @@
 	UnsupportedOperation Name = "UnsupportedOperationException"
 )
 
-// Error is an exception in the binding's form, the body of an answer.
+// Error is a DRMAA exception, as the body of an HTTP response has it.
 type Error struct {
-	Status    int    `json:"-"` // of HTTP
+	Status    int    `json:"-"` // HTTP status code
 	Name      Name   `json:"error"`
 	Message   string `json:"message"`
-	Attribute string `json:"attribute,omitempty"` // the faulty attribute, or parameter
+	Attribute string `json:"attribute,omitempty"` // the attribute or parameter at fault
 
-	RetryAfter time.Duration `json:"-"` // when to retry; 0: unknown
+	RetryAfter time.Duration `json:"-"` // time to wait before a retry; 0: unknown
 	Job        *Job          `json:"job,omitempty"`
 }
 
-// Error returns the exception's name and the message.
+// Error implements the error interface: the exception's name and the message.
 func (e *Error) Error() string { return string(e.Name) + ": " + e.Message }
 
-// Is makes errors.Is match an Error by its name alone.
+// Is makes errors.Is match an Error by its exception name only.
 func (e *Error) Is(target error) bool {
 	t, ok := target.(*Error)
 	return ok && t.Name == e.Name
 }
 
-// InvalidArgumentError returns the error of an invalid argument (400).
+// InvalidArgumentError returns the error for an attribute or parameter with an invalid value (status 400).
 func InvalidArgumentError(attribute, format string, args ...any) *Error {
 	return &Error{Status: 400, Name: InvalidArgument, Attribute: attribute,
 		Message: attribute + ": " + fmt.Sprintf(format, args...)}
 }
 
-// UnsupportedAttributeError returns the error of an attribute that the service does not support (422).
-func UnsupportedAttributeError(attribute, why string) *Error {
-	return &Error{Status: 422, Name: UnsupportedAttribute, Attribute: attribute, Message: attribute + ": " + why}
+// UnsupportedAttributeError returns the error for an attribute that the service does not support (status 422).
+func UnsupportedAttributeError(attribute, reason string) *Error {
+	return &Error{Status: 422, Name: UnsupportedAttribute, Attribute: attribute, Message: attribute + ": " + reason}
 }
 
-// UnsupportedOperationError returns the error of an operation that the service does not support (422).
-func UnsupportedOperationError(why string) *Error {
-	return &Error{Status: 422, Name: UnsupportedOperation, Message: why}
+// UnsupportedOperationError returns the error for an operation that the service does not support (status 422).
+func UnsupportedOperationError(reason string) *Error {
+	return &Error{Status: 422, Name: UnsupportedOperation, Message: reason}
 }
 
-// TryLaterError returns the error of a call that may succeed after a time (503).
-func TryLaterError(after time.Duration, why string) *Error {
-	return &Error{Status: 503, Name: TryLater, Message: why, RetryAfter: after}
+// TryLaterError returns the error for a temporary failure: the call may succeed after the given time
+// (status 503).
+func TryLaterError(after time.Duration, reason string) *Error {
+	return &Error{Status: 503, Name: TryLater, Message: reason, RetryAfter: after}
 }
 
-// InvalidStateError returns the error of an operation that the job's state does not allow (409).
+// InvalidStateError returns the error for an operation that the current state does not allow (status 409).
 func InvalidStateError(format string, args ...any) *Error {
 	return &Error{Status: 409, Name: InvalidState, Message: fmt.Sprintf(format, args...)}
 }
--- a/drmaa/filter.go
+++ b/drmaa/filter.go
@@ -8,35 +8,35 @@
 	"time"
 )
 
-// MaxListed is the most jobs of one page, and the default.
+// MaxListed is the maximum and the default number of jobs in one page of a list.
 const MaxListed = 200
 
 // Filter selects jobs by the attributes of JobInfo that getJobs matches (GFD.194 clause 7.2).
-// Zero fields match all.
+// A field with its zero value matches all jobs.
 type Filter struct {
 	States        []State
 	Category      string
 	Name          string
 	AccountingID  string
 	Array         string
-	SubmittedFrom int64 // Unix microseconds
+	SubmittedFrom int64 // this and the following times are in Unix microseconds
 	SubmittedTo   int64
 	FinishedFrom  int64
 	FinishedTo    int64
 
-	Limit  int
-	Before Cursor // only older jobs
+	Limit  int    // maximum number of jobs in the page
+	Before Cursor // only jobs older than this position
 }
 
-// Cursor is a position in a list: after the job of this number and ID. Lists run from the newest to
-// the oldest job, and the order of two jobs never changes, so that a later page neither repeats
-// nor omits one.
+// Cursor is a position in a list: after the job with this sequence number and ID. Lists run from the
+// newest to the oldest job, and the order of two jobs never changes, so a later page neither repeats
+// nor omits a job.
 type Cursor struct {
 	Seq int64
 	ID  string
 }
 
-// String returns the cursor as clients have it; "" for the zero cursor.
+// String returns the form of the cursor that clients pass back, or "" for the zero cursor.
 func (c Cursor) String() string {
 	if c == (Cursor{}) {
 		return ""
@@ -44,14 +44,14 @@
 	return strconv.FormatInt(c.Seq, 36) + "-" + c.ID
 }
 
-// readCursor parses the form of Cursor.String.
-func readCursor(text string) (Cursor, bool) {
+// readCursor parses the form that Cursor.String returns. ok is false if text is not in that form.
+func readCursor(text string) (c Cursor, ok bool) {
 	seq, id, ok := strings.Cut(text, "-")
 	n, err := strconv.ParseInt(seq, 36, 64)
 	return Cursor{n, id}, ok && err == nil && n > 0 && id != ""
 }
 
-// ReadFilter reads a filter from a call's query. Its error names the parameter.
+// ReadFilter parses a filter from the query string of a call. An error names the parameter at fault.
 func ReadFilter(query string) (Filter, *Error) {
 	filter := Filter{Limit: MaxListed}
 	values, err := url.ParseQuery(query)
@@ -60,7 +60,7 @@
 	}
 	for _, name := range sortedKeys(values) {
 		if len(values[name]) > 1 {
-			return filter, InvalidArgumentError(name, "given twice")
+			return filter, InvalidArgumentError(name, "is given more than once")
 		}
 		if e := filter.set(name, values.Get(name)); e != nil {
 			return filter, e
@@ -69,7 +69,7 @@
 	return filter, nil
 }
 
-// set sets the field of one parameter.
+// set parses one parameter into its field.
 func (f *Filter) set(name, value string) *Error {
 	switch name {
 	case "state":
@@ -98,32 +98,32 @@
 	case "limit":
 		n, err := strconv.Atoi(value)
 		if err != nil || n < 1 || n > MaxListed {
-			return InvalidArgumentError(name, "not from 1 to %d", MaxListed)
+			return InvalidArgumentError(name, "%q is not a whole number from 1 to %d", value, MaxListed)
 		}
 		f.Limit = n
 	case "next":
 		cursor, ok := readCursor(value)
 		if !ok {
-			return InvalidArgumentError(name, "%q is no cursor of this list", value)
+			return InvalidArgumentError(name, "%q is not a cursor of this list", value)
 		}
 		f.Before = cursor
 	default:
-		return InvalidArgumentError(name, "no such filter")
+		return InvalidArgumentError(name, "unknown filter parameter")
 	}
 	return nil
 }
 
-// setTimestamp parses a parameter in the form of RFC 3339 to Unix microseconds.
+// setTimestamp parses an RFC 3339 timestamp into Unix microseconds.
 func setTimestamp(name, value string, field *int64) *Error {
 	t, err := time.Parse(time.RFC3339Nano, value)
 	if err != nil {
-		return InvalidArgumentError(name, "%q is no time after RFC 3339", value)
+		return InvalidArgumentError(name, "%q is not an RFC 3339 timestamp", value)
 	}
 	*field = t.UnixMicro()
 	return nil
 }
 
-// Query returns the filter as a call's query, which ReadFilter reads.
+// Query encodes the filter as a query string that ReadFilter parses.
 func (f Filter) Query() string {
 	v := url.Values{}
 	set := func(name, value string) {
@@ -151,7 +151,8 @@
 	return v.Encode()
 }
 
-// sortedKeys returns the names of parameters in order, so that errors do not depend on a map's order.
+// sortedKeys returns the parameter names in order, so that the error reported for a query with several
+// faults does not depend on map iteration order.
 func sortedKeys(v url.Values) []string {
 	var names []string
 	for name := range v {
@@ -161,16 +162,16 @@
 	return names
 }
 
-// Unfinished reports whether unfinished jobs may match.
+// Unfinished reports whether jobs that are not in a final state can match.
 func (f *Filter) Unfinished() bool {
 	return f.FinishedFrom == 0 && f.FinishedTo == 0 &&
 		(len(f.States) == 0 || slices.ContainsFunc(f.States, func(s State) bool { return !s.Final() }))
 }
 
-// Ended reports whether jobs in a final state may match.
+// Ended reports whether jobs in a final state can match.
 func (f *Filter) Ended() bool {
 	return len(f.States) == 0 || slices.ContainsFunc(f.States, State.Final)
 }
 
-// Matches reports whether a job's state is among the filter's.
+// Matches reports whether a job in state s can match; the other criteria are not checked.
 func (f *Filter) Matches(s State) bool { return len(f.States) == 0 || slices.Contains(f.States, s) }
--- a/drmaa/info.go
+++ b/drmaa/info.go
@@ -2,30 +2,30 @@
 
 import "time"
 
-// Step is one attempt at a job: the prep worker and the outcome.
+// Step is one attempt to run a job on a prep worker.
 type Step struct {
 	Machine string `json:"machineName"`
 	Sent    string `json:"x_sentTime"`
 	Started string `json:"x_startTime,omitempty"`
 	Ended   string `json:"x_endTime,omitempty"`
-	Outcome string `json:"x_outcome,omitempty"` // as in the platform's protocol; empty: in flight
+	Outcome string `json:"x_outcome,omitempty"` // an outcome of the platform protocol; empty while in flight
 }
 
-// Settlement is a person's decision whether an undecided job has run.
+// Settlement is an operator's decision whether an undecided job has run.
 type Settlement struct {
 	Ran    bool   `json:"ran"`
 	Reason string `json:"reason"`
 	Time   string `json:"time,omitempty"`
 }
 
-// Slots are the slots of one machine: SlotInfo (GFD.194 clause 8.2).
+// Slots is the number of slots allocated on one machine: SlotInfo (GFD.194 clause 8.2).
 type Slots struct {
 	Machine string  `json:"machineName"`
 	Slots   float64 `json:"slots"`
 }
 
-// Job is a job as clients see it: JobInfo (GFD.194 clause 8.5) with the job's own attributes.
-// Times are RFC 3339, in UTC.
+// Job is the client's view of a job: JobInfo (GFD.194 clause 8.5) and attributes of this binding.
+// Times are RFC 3339 timestamps in UTC.
 type Job struct {
 	ID                string       `json:"jobId"`
 	Name              string       `json:"jobName,omitempty"`
@@ -33,14 +33,14 @@
 	Owner             string       `json:"jobOwner,omitempty"`
 	State             State        `json:"jobState"`
 	SubState          string       `json:"jobSubState,omitempty"`
-	Template          *JobTemplate `json:"jobTemplate"` // without its input
+	Template          *JobTemplate `json:"jobTemplate"` // without the input
 	ExitStatus        *int         `json:"exitStatus,omitempty"`
 	Annotation        string       `json:"annotation,omitempty"`
 	Machines          []Slots      `json:"allocatedMachines,omitempty"`
 	SubmissionMachine string       `json:"submissionMachine,omitempty"`
 	Slots             float64      `json:"slots"`
 	Queue             string       `json:"queueName"`
-	WallclockTime     float64      `json:"wallclockTime"` // seconds, from the last start on
+	WallclockTime     float64      `json:"wallclockTime"` // seconds, counted from the last start
 	Submitted         string       `json:"submissionTime"`
 	Dispatched        string       `json:"dispatchTime,omitempty"`
 	Finished          string       `json:"finishTime,omitempty"`
@@ -64,10 +64,10 @@
 	Submitted   string        `json:"submissionTime"`
 	Jobs        int           `json:"jobs"`
 	States      map[State]int `json:"x_states"`
-	AllEnded    bool          `json:"x_over"` // all have ended
+	AllEnded    bool          `json:"x_over"` // whether all jobs have ended
 }
 
-// Page is one page of a list. Next is the cursor of the following one; empty: there is none.
+// Page is one page of a job list. Next is the cursor of the next page; empty: this is the last one.
 type Page struct {
 	Jobs []*Job `json:"jobs"`
 	Next string `json:"x_next,omitempty"`
@@ -80,8 +80,8 @@
 	Unfinished int    `json:"unfinishedJobs"`
 }
 
-// Affected has the numbers of jobs that an operation on an array applied to, and of those whose
-// state did not allow it.
+// Affected counts the jobs of an array that an operation was applied to, and those whose state did
+// not allow it.
 type Affected struct {
 	Applied  int `json:"applied"`
 	RuledOut int `json:"x_ruledOut"`
@@ -93,7 +93,7 @@
 	Migrated = "MIGRATED"
 )
 
-// Event is one notification. Sequence numbers rise by one within a tenant's stream.
+// Event is one notification. Sequence numbers increase by one within a tenant's stream.
 type Event struct {
 	Seq      uint64 `json:"seq"`
 	Time     string `json:"time"`
@@ -102,11 +102,11 @@
 	Job      string `json:"jobId"`
 	State    State  `json:"jobState"`
 	SubState string `json:"jobSubState,omitempty"`
-	Machine  string `json:"machineName,omitempty"` // of MIGRATED: the new one
+	Machine  string `json:"machineName,omitempty"` // in a MIGRATED event: the new machine
 }
 
-// Events is an answer from an event stream. Missed is the number of events before the first that
-// were dropped unread; -1: unknown, as the node has restarted since.
+// Events is a batch of events from an event stream. Missed is the number of events that were dropped
+// between the client's cursor and the first event; -1: unknown, because the node has restarted since.
 type Events struct {
 	Events []Event `json:"events"`
 	Missed int64   `json:"missed"`
@@ -118,21 +118,21 @@
 	Name               string   `json:"name"`
 	Available          bool     `json:"available"`
 	State              string   `json:"x_state"` // Ready, Draining
-	FailureProbability float64  `json:"x_doubt"` // the probability that a job fails there, by the node's estimate
+	FailureProbability float64  `json:"x_doubt"` // the node's estimate of the probability that a job fails there
 	FreeSlots          *float64 `json:"x_freeSlots,omitempty"`
-	BatchSlots         float64  `json:"x_batchSlots"` // slots that the tenant's batch jobs use there
+	BatchSlots         float64  `json:"x_batchSlots"` // slots in use there by the tenant's batch jobs
 }
 
-// Queue is a class of jobs: QueueInfo (GFD.194 clause 8.6).
+// Queue is a job class: QueueInfo (GFD.194 clause 8.6).
 type Queue struct {
 	Name          string `json:"name"`
-	NonIdempotent bool   `json:"x_once"` // its jobs never run twice
+	NonIdempotent bool   `json:"x_once"` // jobs of the class never run twice
 	Waiting       int    `json:"x_waiting"`
 	Held          int    `json:"x_held"`
 	Running       int    `json:"x_running"`
 }
 
-// Manager has the session manager's attributes (GFD.194 clause 7.1).
+// Manager describes the service: the attributes of SessionManager (GFD.194 clause 7.1).
 type Manager struct {
 	DrmsName              string            `json:"drmsName"`
 	DrmsVersion           string            `json:"drmsVersion"`
@@ -153,7 +153,7 @@
 	}
 }
 
-// Stamp formats a time in Unix microseconds as RFC 3339; 0 as "".
+// Stamp formats a time in Unix microseconds as an RFC 3339 timestamp in UTC, and 0 as "".
 func Stamp(micros int64) string {
 	if micros == 0 {
 		return ""
--- a/drmaa/state.go
+++ b/drmaa/state.go
@@ -1,7 +1,7 @@
-// Package drmaa has the data types of the batch front's binding: job templates, states, errors,
-// filters, jobs, arrays, events, queues and machines, after DRMAA version 2 (Open Grid Forum,
-// GFD.194 and its revision GFD.231). The server (package httpapi) and package drmaa/client share
-// it. It validates documents and does no I/O.
+// Package drmaa defines the data types of the batch API: job templates, states, errors, filters,
+// jobs, arrays, events, queues and machines. They follow DRMAA version 2 (Open Grid Forum, GFD.194
+// and its revision GFD.231). The server (package httpapi) and the client (package drmaa/client)
+// share them. The package validates documents and does no I/O.
 package drmaa
 
 import "slices"
@@ -9,8 +9,8 @@
 // State is a job's state: JobState (GFD.194 clause 8.1).
 type State string
 
-// The states. SUSPENDED never occurs: a prep worker cannot suspend a job. UNDETERMINED stands for
-// a job whose record cannot be read.
+// The job states. SUSPENDED never occurs, because prep workers cannot suspend a job. UNDETERMINED is
+// the state of a job whose record cannot be read.
 const (
 	Undetermined State = "UNDETERMINED"
 	Queued       State = "QUEUED"
@@ -23,27 +23,28 @@
 	Failed       State = "FAILED"
 )
 
-// States returns all states of the standard, in its order.
+// States returns all states of the standard in the order in which it lists them.
 func States() []State {
 	return []State{Undetermined, Queued, QueuedHeld, Running, Suspended, Requeued, RequeuedHeld, Done, Failed}
 }
 
-// Known reports whether the standard has the state.
+// Known reports whether s is a state of the standard.
 func (s State) Known() bool { return slices.Contains(States(), s) }
 
-// Final reports whether the state never changes any more ("Terminated" in the standard).
+// Final reports whether the state can no longer change ("Terminated" in the standard).
 func (s State) Final() bool { return s == Done || s == Failed }
 
-// Started reports whether a prep worker has started the job and not lost it.
+// Started reports whether the job is in progress on a prep worker.
 func (s State) Started() bool { return s == Running || s == Suspended }
 
-// Held reports whether the job waits for its release.
+// Held reports whether the job is on hold and waits for its release.
 func (s State) Held() bool { return s == QueuedHeld || s == RequeuedHeld }
 
-// Waiting reports whether the job waits to run, held or not.
+// Waiting reports whether the job waits to run, on hold or not.
 func (s State) Waiting() bool { return s == Queued || s == Requeued || s.Held() }
 
-// transitions are those of the model of GFD.194 clause 8.1, without the suspended states.
+// transitions lists the states that may follow each state. It is the state model of GFD.194 clause 8.1
+// without the suspended states.
 var transitions = map[State][]State{
 	Queued:       {QueuedHeld, Running, Requeued, Done, Failed},
 	QueuedHeld:   {Queued, Failed},
@@ -52,13 +53,14 @@
 	RequeuedHeld: {Requeued, Failed},
 }
 
-// MayBecome reports whether a job may change from state s to another. RUNNING may be skipped if
-// the start is known only with the end, and a queued job whose step was refused is requeued.
+// MayBecome reports whether a job may change from state s to state to. RUNNING may be skipped, because
+// the start of a job may become known only with its end. A queued job whose step was rejected is
+// requeued.
 func (s State) MayBecome(to State) bool {
 	return s == to && !s.Final() || slices.Contains(transitions[s], to)
 }
 
-// Hold returns the held state of a waiting one.
+// Hold returns the held counterpart of a waiting state, and any other state unchanged.
 func (s State) Hold() State {
 	switch s {
 	case Queued:
@@ -69,7 +71,7 @@
 	return s
 }
 
-// Release returns the waiting state of a held one.
+// Release returns the waiting counterpart of a held state, and any other state unchanged.
 func (s State) Release() State {
 	switch s {
 	case QueuedHeld:
--- a/drmaa/template.go
+++ b/drmaa/template.go
@@ -16,73 +16,73 @@
 	"unicode/utf8"
 )
 
-// Bounds of a job template.
+// Limits on the values in a job template.
 const (
-	MaxInputBytes = 60 << 10 // bytes
-	MaxNameBytes  = 200      // bytes of a name, a key or an argument
+	MaxInputBytes = 60 << 10 // of the input
+	MaxNameBytes  = 200      // of a name, a key or an argument
 	MaxSlots      = 64
 	MaxArgs       = 32
-	MaxPriority   = 1000 // and -MaxPriority at least
+	MaxPriority   = 1000 // the minimum is -MaxPriority
 	MaxDeadline   = 24 * time.Hour
-	MaxTimeAhead  = 366 * 24 * time.Hour // of a start time or a deadline
+	MaxTimeAhead  = 366 * 24 * time.Hour // how far a start time or a deadline may lie in the future
 )
 
-// IndexPlaceholder is replaced by an array job's index in args and input: the binding's form of
-// the standard's index placeholder (GFD.194 clause 8.4).
+// IndexPlaceholder is replaced by the index of an array job in args and input. It corresponds to the
+// index placeholder of the standard (GFD.194 clause 8.4).
 const IndexPlaceholder = "$DRMAA_INDEX$"
 
-// JobTemplate describes a job to submit (GFD.194 clause 8.4). Attributes that start with x_ are the
-// binding's own. Attributes of the standard that are missing here are rejected by name; see
-// UnsupportedAttributes.
+// JobTemplate describes a job to submit (GFD.194 clause 8.4). Attributes that start with x_ are
+// extensions of this binding. Attributes of the standard that are not listed here are rejected by
+// name; see UnsupportedAttributes.
 type JobTemplate struct {
-	RemoteCommand string            `json:"remoteCommand"`            // the class of the job
-	Args          []string          `json:"args,omitempty"`           // further parts of its path
-	Input         string            `json:"input,omitempty"`          // the body
+	RemoteCommand string            `json:"remoteCommand"`            // the job class
+	Args          []string          `json:"args,omitempty"`           // path segments of the job's request after the class
+	Input         string            `json:"input,omitempty"`          // the body of the job's request
 	JobName       string            `json:"jobName,omitempty"`        // for the client's own use
-	JobCategory   string            `json:"jobCategory,omitempty"`    // the class too; must agree with the others
-	SubmitAsHold  bool              `json:"submitAsHold,omitempty"`   // waits for its release
-	Rerunnable    *bool             `json:"rerunnable,omitempty"`     // nil: as the class has it
-	Environment   map[string]string `json:"jobEnvironment,omitempty"` // rejected by name
-	MinSlots      float64           `json:"minSlots,omitempty"`       // slots that it takes; 0: one
-	MaxSlots      float64           `json:"maxSlots,omitempty"`       // 0: as many as minSlots
-	Priority      int               `json:"priority,omitempty"`       // higher goes first
-	StartTime     string            `json:"startTime,omitempty"`      // RFC 3339; not before it
-	DeadlineTime  string            `json:"deadlineTime,omitempty"`   // RFC 3339; not after it
+	JobCategory   string            `json:"jobCategory,omitempty"`    // names the class too; must equal remoteCommand and queueName if set
+	SubmitAsHold  bool              `json:"submitAsHold,omitempty"`   // the job is submitted on hold and waits for its release
+	Rerunnable    *bool             `json:"rerunnable,omitempty"`     // nil: as the class specifies
+	Environment   map[string]string `json:"jobEnvironment,omitempty"` // not supported: rejected unless empty
+	MinSlots      float64           `json:"minSlots,omitempty"`       // slots that the job uses; 0: 1
+	MaxSlots      float64           `json:"maxSlots,omitempty"`       // 0: equal to minSlots
+	Priority      int               `json:"priority,omitempty"`       // higher values are scheduled first
+	StartTime     string            `json:"startTime,omitempty"`      // RFC 3339; earliest start
+	DeadlineTime  string            `json:"deadlineTime,omitempty"`   // RFC 3339; latest end
 	AccountingID  string            `json:"accountingId,omitempty"`   // for the client's own use
-	QueueName     string            `json:"queueName,omitempty"`      // the class too; must agree with the others
-	Deadline      float64           `json:"deadline,omitempty"`       // seconds from submission; of an older version of the binding
-	CostHint      float64           `json:"x_costHint,omitempty"`     // estimated seconds of work; 0: unknown
-	ClientKey     string            `json:"x_clientKey,omitempty"`
+	QueueName     string            `json:"queueName,omitempty"`      // names the class too; must equal remoteCommand and jobCategory if set
+	Deadline      float64           `json:"deadline,omitempty"`       // seconds from submission; kept from an older version of the binding
+	CostHint      float64           `json:"x_costHint,omitempty"`     // estimated run time in seconds; 0: unknown
+	ClientKey     string            `json:"x_clientKey,omitempty"`    // idempotency key: submissions with the same key create one job
 }
 
-// UnsupportedAttributes are the attributes of the standard that the binding rejects, with the reasons.
+// UnsupportedAttributes maps each attribute of the standard that the binding rejects to the reason.
 var UnsupportedAttributes = map[string]string{
-	"workingDirectory":  "prep workers have no directories of their clients'",
+	"workingDirectory":  "prep workers provide no working directory",
 	"email":             "the service sends no mail",
 	"emailOnStarted":    "the service sends no mail",
 	"emailOnTerminated": "the service sends no mail",
-	"inputPath":         "the input is given as 'input'",
+	"inputPath":         "the input is passed in the attribute 'input'",
 	"outputPath":        "the output is the job's result",
 	"errorPath":         "the output is the job's result",
 	"joinFiles":         "the output is the job's result",
 	"reservationId":     "there are no advance reservations",
 	"candidateMachines": "the service chooses the prep worker",
 	"minPhysMemory":     "prep workers are not chosen by memory",
-	"machineOS":         "prep workers are not chosen by system",
+	"machineOS":         "prep workers are not chosen by operating system",
 	"machineArch":       "prep workers are not chosen by architecture",
 	"stageInFiles":      "no files are staged",
 	"stageOutFiles":     "no files are staged",
-	"resourceLimits":    "prep workers enforce no limits of their clients'",
+	"resourceLimits":    "prep workers do not enforce resource limits",
 	"jobEnvironment":    "prep workers are handed no environment",
 }
 
-// Class is a class of jobs, which a template names.
+// Class is a job class. A template names it.
 type Class struct {
 	Number        int
-	NonIdempotent bool // must not run twice
+	NonIdempotent bool // its jobs must not run twice
 }
 
-// ReadTemplate reads and validates a job template. classes are those allowed, by name.
+// ReadTemplate parses and validates a job template. classes are the job classes by name.
 func ReadTemplate(body []byte, classes map[string]Class, now time.Time) (*JobTemplate, *Error) {
 	var t JobTemplate
 	if e := Decode(body, &t, "the job template"); e != nil {
@@ -91,8 +91,8 @@
 	return &t, t.Validate(classes, now)
 }
 
-// Decode decodes one JSON object without unknown members. what names the document in errors, which
-// name the faulty attribute where there is one.
+// Decode decodes one JSON object and rejects unknown members. what names the document in errors, which
+// also name the attribute at fault if there is one.
 func Decode(body []byte, into any, what string) *Error {
 	decoder := json.NewDecoder(bytes.NewReader(body))
 	decoder.DisallowUnknownFields()
@@ -105,31 +105,30 @@
 	return nil
 }
 
-// decodeError converts an error of encoding/json.
+// decodeError converts an error of encoding/json into an error of the binding.
 func decodeError(err error, what string) *Error {
 	var typeError *json.UnmarshalTypeError
 	if errors.As(err, &typeError) {
 		if typeError.Field != "" {
-			return InvalidArgumentError(typeError.Field, "a %s makes no sense here", typeError.Value)
+			return InvalidArgumentError(typeError.Field, "a JSON %s is not allowed here", typeError.Value)
 		}
-		return &Error{Status: 400, Name: InvalidArgument, Message: what + " is no JSON object: it is a " + typeError.Value}
+		return &Error{Status: 400, Name: InvalidArgument, Message: what + " is not a JSON object: it is a " + typeError.Value}
 	}
 	if quoted, ok := strings.CutPrefix(err.Error(), "json: unknown field "); ok {
 		name, err := strconv.Unquote(quoted)
 		if err != nil {
 			name = quoted
 		}
-		why, known := UnsupportedAttributes[name]
+		reason, known := UnsupportedAttributes[name]
 		if !known {
-			why = "no such attribute"
+			reason = "unknown attribute"
 		}
-		return UnsupportedAttributeError(name, why)
+		return UnsupportedAttributeError(name, reason)
 	}
 	return &Error{Status: 400, Name: InvalidArgument, Message: what + " cannot be read: " + err.Error()}
 }
 
-// Validate checks a template. It sets the class from jobCategory or queueName if remoteCommand is
-// missing.
+// Validate checks a template. If remoteCommand is missing, it is set from jobCategory or queueName.
 func (t *JobTemplate) Validate(classes map[string]Class, now time.Time) *Error {
 	if len(t.Environment) > 0 {
 		return UnsupportedAttributeError("jobEnvironment", UnsupportedAttributes["jobEnvironment"])
@@ -145,29 +144,29 @@
 	}
 	for _, a := range t.Args {
 		if a == "" || len(a) > MaxNameBytes || a == "." || a == ".." {
-			return InvalidArgumentError("args", "%q is no part of a path", a)
+			return InvalidArgumentError("args", "%q is not a valid path segment of 1 to %d bytes", a, MaxNameBytes)
 		}
 	}
 	return t.checkTimes(now)
 }
 
-// checkClass completes and checks the class.
+// checkClass determines the class from remoteCommand, jobCategory and queueName and checks it.
 func (t *JobTemplate) checkClass(classes map[string]Class) *Error {
-	for _, other := range []struct{ attribute, value string }{{"jobCategory", t.JobCategory}, {"queueName", t.QueueName}} {
+	for _, alias := range []struct{ attribute, value string }{{"jobCategory", t.JobCategory}, {"queueName", t.QueueName}} {
 		switch {
-		case other.value == "":
+		case alias.value == "":
 		case t.RemoteCommand == "":
-			t.RemoteCommand = other.value
-		case t.RemoteCommand != other.value:
-			return InvalidArgumentError(other.attribute, "%q is not the class %q that is named already", other.value, t.RemoteCommand)
+			t.RemoteCommand = alias.value
+		case t.RemoteCommand != alias.value:
+			return InvalidArgumentError(alias.attribute, "%q contradicts the class %q, which another attribute names", alias.value, t.RemoteCommand)
 		}
 	}
 	if t.RemoteCommand == "" {
-		return InvalidArgumentError("remoteCommand", "missing; it names the class")
+		return InvalidArgumentError("remoteCommand", "is missing; it names the job class")
 	}
 	class, ok := classes[t.RemoteCommand]
 	if !ok {
-		return InvalidArgumentError("remoteCommand", "no class %q", t.RemoteCommand)
+		return InvalidArgumentError("remoteCommand", "there is no job class %q", t.RemoteCommand)
 	}
 	if t.Rerunnable != nil && *t.Rerunnable && class.NonIdempotent {
 		return UnsupportedAttributeError("rerunnable", "jobs of class "+t.RemoteCommand+" never run twice")
@@ -179,43 +178,43 @@
 func (t *JobTemplate) checkTexts() *Error {
 	for _, text := range []struct {
 		attribute, value string
-		most             int
+		maxBytes         int
 	}{{"input", t.Input, MaxInputBytes}, {"jobName", t.JobName, MaxNameBytes}, {"accountingId", t.AccountingID, MaxNameBytes},
 		{"x_clientKey", t.ClientKey, MaxNameBytes}} {
 		switch {
-		case len(text.value) > text.most:
-			return InvalidArgumentError(text.attribute, "over %d bytes", text.most)
+		case len(text.value) > text.maxBytes:
+			return InvalidArgumentError(text.attribute, "has %d bytes; the maximum is %d", len(text.value), text.maxBytes)
 		case text.attribute != "input" && (strings.ContainsFunc(text.value, unicode.IsControl) || !utf8.ValidString(text.value)):
-			return InvalidArgumentError(text.attribute, "holds a control character")
+			return InvalidArgumentError(text.attribute, "contains a control character or is not valid UTF-8")
 		}
 	}
 	return nil
 }
 
-// checkNumbers checks the ranges of slots, priority, deadline, cost and arguments.
+// checkNumbers checks the ranges of slots, priority, deadline and cost hint, and the number of arguments.
 func (t *JobTemplate) checkNumbers() *Error {
 	switch {
 	case !(t.MinSlots >= 0) || t.MinSlots > MaxSlots:
-		return InvalidArgumentError("minSlots", "not from 0 to %d", MaxSlots)
+		return InvalidArgumentError("minSlots", "%v is not from 0 to %d", t.MinSlots, MaxSlots)
 	case !(t.MaxSlots >= 0) || t.MaxSlots > MaxSlots:
-		return InvalidArgumentError("maxSlots", "not from 0 to %d", MaxSlots)
+		return InvalidArgumentError("maxSlots", "%v is not from 0 to %d", t.MaxSlots, MaxSlots)
 	case t.MaxSlots > 0 && t.MaxSlots < t.Slots():
-		return InvalidArgumentError("maxSlots", "under minSlots")
+		return InvalidArgumentError("maxSlots", "%v is less than minSlots (%v)", t.MaxSlots, t.Slots())
 	case t.Priority < -MaxPriority || t.Priority > MaxPriority:
-		return InvalidArgumentError("priority", "not from %d to %d", -MaxPriority, MaxPriority)
+		return InvalidArgumentError("priority", "%d is not from %d to %d", t.Priority, -MaxPriority, MaxPriority)
 	case !(t.Deadline >= 0) || t.Deadline > MaxDeadline.Seconds():
-		return InvalidArgumentError("deadline", "not from 0 to %v seconds", MaxDeadline.Seconds())
+		return InvalidArgumentError("deadline", "%v is not from 0 to %v seconds", t.Deadline, MaxDeadline.Seconds())
 	case t.Deadline > 0 && t.DeadlineTime != "":
-		return InvalidArgumentError("deadlineTime", "deadline is given too")
+		return InvalidArgumentError("deadlineTime", "must not be combined with deadline")
 	case !(t.CostHint >= 0) || t.CostHint*1e6 > math.MaxUint32:
-		return InvalidArgumentError("x_costHint", "out of range")
+		return InvalidArgumentError("x_costHint", "%v is not from 0 to %v seconds", t.CostHint, math.MaxUint32/1e6)
 	case len(t.Args) > MaxArgs:
-		return InvalidArgumentError("args", "over %d", MaxArgs)
+		return InvalidArgumentError("args", "has %d entries; the maximum is %d", len(t.Args), MaxArgs)
 	}
 	return nil
 }
 
-// checkTimes checks start time and deadline.
+// checkTimes checks the start time and the deadline.
 func (t *JobTemplate) checkTimes(now time.Time) *Error {
 	var start, end time.Time
 	for _, at := range []struct {
@@ -228,9 +227,9 @@
 		v, err := time.Parse(time.RFC3339Nano, at.text)
 		switch {
 		case err != nil:
-			return InvalidArgumentError(at.attribute, "%q is no time after RFC 3339", at.text)
+			return InvalidArgumentError(at.attribute, "%q is not an RFC 3339 timestamp", at.text)
 		case v.After(now.Add(MaxTimeAhead)):
-			return InvalidArgumentError(at.attribute, "over a year ahead")
+			return InvalidArgumentError(at.attribute, "is more than 366 days ahead")
 		}
 		*at.into = v
 	}
@@ -238,14 +237,14 @@
 	case !end.IsZero() && !end.After(now):
 		return InvalidArgumentError("deadlineTime", "has passed")
 	case !end.IsZero() && start.After(end):
-		return InvalidArgumentError("deadlineTime", "before startTime")
+		return InvalidArgumentError("deadlineTime", "is before startTime")
 	case t.Deadline > 0 && start.After(now.Add(seconds(t.Deadline))):
-		return InvalidArgumentError("deadline", "ends before startTime")
+		return InvalidArgumentError("deadline", "passes before startTime")
 	}
 	return nil
 }
 
-// seconds converts seconds to a duration.
+// seconds converts a number of seconds to a duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
 // Slots returns the number of slots that the job uses.
@@ -256,10 +255,11 @@
 	return 1
 }
 
-// Start returns the job's start time in Unix microseconds; 0: none.
+// Start returns the earliest start time in Unix microseconds, or 0 if the template sets none.
 func (t *JobTemplate) Start() int64 { return unixMicros(t.StartTime) }
 
-// End returns the deadline of a job submitted at a time, both in Unix microseconds; 0: none.
+// End returns the deadline of a job submitted at the given time, both in Unix microseconds. It is 0 if the
+// template sets none.
 func (t *JobTemplate) End(submitted int64) int64 {
 	if t.Deadline > 0 {
 		return submitted + seconds(t.Deadline).Microseconds()
@@ -267,7 +267,7 @@
 	return unixMicros(t.DeadlineTime)
 }
 
-// unixMicros parses a time of RFC 3339 to Unix microseconds; 0 if it is none.
+// unixMicros converts an RFC 3339 timestamp to Unix microseconds, and any other text to 0.
 func unixMicros(text string) int64 {
 	if at, err := time.Parse(time.RFC3339Nano, text); err == nil {
 		return at.UnixMicro()
@@ -275,8 +275,8 @@
 	return 0
 }
 
-// Target returns the path of the job's request to a prep worker. index replaces IndexPlaceholder;
-// it is empty for a single job.
+// Target returns the path of the job's request to a prep worker, with IndexPlaceholder replaced by
+// index. index is empty for a single job.
 func (t *JobTemplate) Target(index string) string {
 	var b strings.Builder
 	b.WriteString("/" + url.PathEscape(t.RemoteCommand))
@@ -286,10 +286,10 @@
 	return b.String()
 }
 
-// Body returns the job's input, with the index in place of IndexPlaceholder.
+// Body returns the body of the job's request: its input with IndexPlaceholder replaced by index.
 func (t *JobTemplate) Body(index string) string { return replaceIndex(t.Input, index) }
 
-// replaceIndex replaces IndexPlaceholder, unless index is empty.
+// replaceIndex replaces IndexPlaceholder by index, unless index is empty.
 func replaceIndex(text, index string) string {
 	if index == "" {
 		return text
@@ -297,12 +297,12 @@
 	return strings.ReplaceAll(text, IndexPlaceholder, index)
 }
 
-// Digest returns a hash of the template and of extra, the rest of what its client key stands for,
-// such as the range of a bulk. Submissions of one client key must have one digest.
+// Digest returns a hash of the template and of extra, the other contents of the submission, such as the
+// index range of a bulk. Submissions with the same client key must have the same digest.
 func (t *JobTemplate) Digest(extra string) string {
 	text, err := json.Marshal(t)
 	if err != nil {
-		panic(err) // unreachable: a template has plain fields alone
+		panic(err) // unreachable: every field of a template can be encoded
 	}
 	sum := sha256.Sum256(append(text, extra...))
 	return hex.EncodeToString(sum[:])
