--- a/internal/node/batch/circuitbreaker/circuit.go
+++ b/internal/node/batch/circuitbreaker/circuit.go
@@ -1,28 +1,28 @@
-// Package circuitbreaker is the circuit breaker of the batch front's store: it judges from the
-// store's calls whether it answers, so that submissions are rejected at once while it does not.
-// It does no I/O and takes the clock as an argument. Package jobs uses it.
+// Package circuitbreaker is the circuit breaker for the store of the batch API. It determines from the
+// ends of store calls whether the store responds, so that submissions are rejected at once while it does
+// not. It does no I/O and takes the current time as an argument. Package jobs uses it.
 //
-// The store serves one call after the other, so that each end of a call is progress. A store with
-// calls in flight and no progress for StallTime is stalled. One whose last call failed is failing:
+// The store executes one call after the other, so each end of a call is progress. The store is stalled if
+// calls are in flight and there was no progress for StallTime. It is failing if its last call failed: then
 // one submission per RetryInterval is admitted as a trial, unless other calls are in flight. Any
 // successful call closes the circuit. Calls that must not be dropped, such as those that record
-// results, are made throughout and serve as trials too.
+// results, are made in every state and serve as trials too.
 package circuitbreaker
 
 import "time"
 
 // Config configures a circuit breaker.
 type Config struct {
-	StallTime     time.Duration // without progress for longer the store is stalled
+	StallTime     time.Duration // time without progress after which the store is stalled
 	RetryInterval time.Duration // between two trials of a failing store
 }
 
-// State is the state of a circuit breaker, as the administration shows it.
+// State is the state of the store, as the administration API shows it.
 type State string
 
-// The states.
+// The states of the store.
 const (
-	Healthy State = "well"
+	Healthy State = "well"    // neither stalled nor failing
 	Stalled State = "stalled" // calls are in flight and none ends
 	Failing State = "failing" // the last call failed
 )
@@ -30,17 +30,17 @@
 // Circuit is a circuit breaker. It is not safe for concurrent use.
 type Circuit struct {
 	config       Config
-	inFlight     int           // calls that have not ended
-	lastProgress time.Duration // the last call's end, or the start of the first call after none was in flight
+	inFlight     int           // number of calls that have not ended
+	lastProgress time.Duration // end of the last call, or start of a call made while none was in flight, whichever is later
 	failing      bool
-	lastTrial    time.Duration
-	rejected     uint64
+	lastTrial    time.Duration // the last admitted trial or failed call, whichever is later
+	rejected     uint64        // number of rejected submissions
 }
 
 // New returns a closed circuit breaker.
 func New(c Config) *Circuit { return &Circuit{config: c} }
 
-// CallBegan records a call handed to the store.
+// CallBegan records the start of a store call.
 func (c *Circuit) CallBegan(now time.Duration) {
 	if c.inFlight == 0 {
 		c.lastProgress = now
@@ -48,7 +48,7 @@
 	c.inFlight++
 }
 
-// CallEnded records the end of a call.
+// CallEnded records the end of a store call.
 func (c *Circuit) CallEnded(now time.Duration, failed bool) {
 	c.inFlight--
 	c.lastProgress = now
@@ -58,7 +58,7 @@
 	}
 }
 
-// State returns the state.
+// State returns the state of the store.
 func (c *Circuit) State(now time.Duration) State {
 	switch {
 	case c.inFlight > 0 && now-c.lastProgress > c.config.StallTime:
@@ -69,7 +69,7 @@
 	return Healthy
 }
 
-// Admit reports whether a submission may be accepted, and if not after which time to retry.
+// Admit reports whether a submission may be accepted, and if not, how long to wait before a retry.
 func (c *Circuit) Admit(now time.Duration) (after time.Duration, ok bool) {
 	switch c.State(now) {
 	case Healthy:
@@ -84,10 +84,10 @@
 	return c.config.RetryInterval, false
 }
 
-// CountRejected counts a submission that was admitted and rejected later.
+// CountRejected counts a submission that was admitted but rejected later.
 func (c *Circuit) CountRejected() { c.rejected++ }
 
-// InFlight returns the number of calls that have not ended.
+// InFlight returns the number of store calls that have not ended.
 func (c *Circuit) InFlight() int { return c.inFlight }
 
 // Rejected returns the number of rejected submissions.
--- a/internal/node/batch/circuitbreaker/circuit_test.go
+++ b/internal/node/batch/circuitbreaker/circuit_test.go
@@ -7,50 +7,52 @@
 
 const ms = time.Millisecond
 
+// The circuit opens after StallTime without progress, while calls are in flight.
 func TestCircuit_stalled(t *testing.T) {
 	c := New(Config{StallTime: 500 * ms, RetryInterval: time.Second})
 	admits := func(now time.Duration) bool { _, ok := c.Admit(now); return ok }
 	c.CallBegan(0)
 	if !admits(500*ms) || admits(501*ms) || c.State(501*ms) != Stalled {
-		t.Errorf("%s at 501 ms without progress", c.State(501*ms))
+		t.Errorf("%s after 501 ms without progress, want %s; submissions must be admitted until 500 ms", c.State(501*ms), Stalled)
 	}
 	c.CallBegan(600 * ms)
-	c.CallEnded(5000*ms, false) // progress, though one still waits
+	c.CallEnded(5000*ms, false) // progress, although another call is still in flight
 	if !admits(5400*ms) || admits(5501*ms) {
-		t.Error("progress is not seen, or for ever")
+		t.Error("after progress at 5000 ms, want submissions admitted at 5400 ms and rejected at 5501 ms")
 	}
 	c.CallEnded(6000*ms, false)
 	if !admits(time.Hour) || c.State(time.Hour) != Healthy {
-		t.Error("a store with nothing to do is not well")
+		t.Errorf("idle store: got state %s, want %s and submissions admitted", c.State(time.Hour), Healthy)
 	}
 	if c.Rejected() != 2 {
-		t.Errorf("%d turned away", c.Rejected())
+		t.Errorf("counted %d rejected submissions, want 2", c.Rejected())
 	}
 }
 
+// After a failed call the circuit admits one trial per RetryInterval, and a successful call closes it.
 func TestCircuit_failing(t *testing.T) {
 	c := New(Config{StallTime: 500 * ms, RetryInterval: time.Second})
 	c.CallBegan(0)
 	c.CallEnded(10*ms, true)
 	if after, ok := c.Admit(20 * ms); ok || after != time.Second || c.State(20*ms) != Failing {
-		t.Errorf("admitted %v, %v", ok, after)
+		t.Errorf("after a failed call: admitted %v, retry after %v, state %s; want false, 1s, %s", ok, after, c.State(20*ms), Failing)
 	}
-	// One submission per RetryInterval is the trial, and no other meanwhile.
-	tries := 0
+	// One submission per RetryInterval is admitted as a trial, and no other in between.
+	trials := 0
 	for now := 20 * ms; now < 10*time.Second; now += 10 * ms {
 		if _, ok := c.Admit(now); ok {
-			tries++
+			trials++
 			c.CallBegan(now)
 			c.CallEnded(now+5*ms, true)
 		}
 	}
-	if tries < 8 || tries > 10 {
-		t.Errorf("%d tries in 10 s", tries)
+	if trials < 8 || trials > 10 {
+		t.Errorf("%d submissions admitted in 10 s, want 8 to 10", trials)
 	}
-	// Another call's success closes it.
+	// A successful call closes the circuit.
 	c.CallBegan(11 * time.Second)
 	c.CallEnded(11*time.Second, false)
 	if _, ok := c.Admit(11 * time.Second); !ok {
-		t.Error("still open")
+		t.Error("submission rejected after a successful call")
 	}
 }
--- a/internal/node/batch/window/window_test.go
+++ b/internal/node/batch/window/window_test.go
@@ -9,11 +9,13 @@
 	"pgregory.net/rapid"
 )
 
-// The cases drawn are the same in each run; -rapid.seed=0 draws others.
+// A fixed seed makes every run draw the same cases; -rapid.seed=0 draws others.
 func init() { _ = flag.Set("rapid.seed", "20261201") }
 
+// at returns the clock reading ms milliseconds after the start of a test.
 func at(ms int) time.Duration { return time.Hour + time.Duration(ms)*time.Millisecond }
 
+// A window in full use grows to its maximum while there is no queueing delay.
 func TestWindow_ObserveStart_growsWithoutDelay(t *testing.T) {
 	w := New(Config{MaxSlots: 32, DelayTarget: 20 * time.Millisecond})
 	ms := 0
@@ -25,11 +27,11 @@
 		w.Release(at(ms), 1)
 	}
 	if got := w.State().Size; got != 32 {
-		t.Errorf("window %v after 200 starts without a wait", got)
+		t.Errorf("size %v after 200 starts without queueing delay, want 32", got)
 	}
 }
 
-// Without a backlog the window does not grow, whatever the delays.
+// A window that is never full does not grow.
 func TestWindow_ObserveStart_unusedDoesNotGrow(t *testing.T) {
 	w := New(Config{MaxSlots: 32, DelayTarget: 20 * time.Millisecond})
 	for ms := range 500 {
@@ -39,11 +41,12 @@
 		w.Release(at(ms), 1)
 	}
 	if got := w.State().Size; got != initialSlots {
-		t.Errorf("window %v", got)
+		t.Errorf("size %v after 500 starts in a window that was never full, want %v", got, initialSlots)
 	}
 }
 
-func TestWindow_ObserveStart_yieldsToTheOtherFront(t *testing.T) {
+// Delayed platform requests shrink the window to its minimum, which admits one job of any size.
+func TestWindow_ObserveStart_yieldsToPlatformRequests(t *testing.T) {
 	w := New(Config{MaxSlots: 32, DelayTarget: 20 * time.Millisecond})
 	w.size, w.slowStart = 32, false
 	w.ObserveStart(at(0), time.Millisecond, false)
@@ -51,13 +54,14 @@
 		w.ObserveStart(at(ms), 100*time.Millisecond, false)
 	}
 	if got := w.State().Size; got != minSlots {
-		t.Errorf("window %v while the other front waits", got)
+		t.Errorf("size %v while platform requests are delayed, want %v", got, minSlots)
 	}
 	if !w.Acquire(at(1000), 8) || w.Acquire(at(1000), 0.5) {
-		t.Error("the least window lets not exactly one job through")
+		t.Error("window of the minimum size: want the first job admitted and the second rejected")
 	}
 }
 
+// Losses within minHalvingInterval halve the window once.
 func TestWindow_ObserveLoss_halvesOnce(t *testing.T) {
 	w := New(Config{MaxSlots: 32, DelayTarget: 20 * time.Millisecond})
 	w.size = 32
@@ -65,43 +69,44 @@
 		w.ObserveLoss(at(0))
 	}
 	if got := w.State(); got.Size != 16 || got.Halvings != 1 {
-		t.Errorf("%+v", got)
+		t.Errorf("after 50 losses at the same time: got %+v, want size 16 after 1 halving", got)
 	}
 	w.ObserveLoss(at(600))
 	if got := w.State().Size; got != 8 {
-		t.Errorf("window %v", got)
+		t.Errorf("size %v after a loss 600 ms later, want 8", got)
 	}
 }
 
-// A refusal pauses the window for the backlog, longer with each, until a batch job starts.
+// Each rejection pauses the window for longer, until a batch job starts.
 func TestWindow_ObserveRejection_pauses(t *testing.T) {
 	w := New(Config{MaxSlots: 32, DelayTarget: 20 * time.Millisecond})
 	now := time.Hour
-	tries := 0
+	attempts := 0
 	for end := now + time.Minute; now < end; now += time.Millisecond {
 		if w.Acquire(now, 1) {
-			tries++
+			attempts++
 			w.Release(now, 1)
 			w.ObserveRejection(now, 0)
 		}
 	}
-	if tries > 45 {
-		t.Errorf("%d tries in a minute of refusals", tries)
+	if attempts > 45 {
+		t.Errorf("%d attempts in a minute of rejections, want 45 at most", attempts)
 	}
 	now += maxPause
 	w.Acquire(now, 1)
 	w.ObserveStart(now, time.Millisecond, true)
 	w.ObserveRejection(now, 0)
-	if until, shut := w.Paused(now); !shut || until > now+minPause {
-		t.Errorf("shut until %v from %v", until, now)
+	if until, paused := w.Paused(now); !paused || until > now+initialPause {
+		t.Errorf("first rejection after a start: paused %v, for %v; want a pause of %v at most", paused, until-now, initialPause)
 	}
 	w.ObserveRejection(now, 300*time.Millisecond)
 	if until, _ := w.Paused(now); until != now+300*time.Millisecond {
-		t.Errorf("the advice is not heeded: %v", until-now)
+		t.Errorf("rejection with the advice to retry after 300 ms: paused for %v, want 300 ms", until-now)
 	}
 }
 
-// A base delay that has risen for good becomes the base after baseHistory intervals.
+// After a permanent rise of the delay, the minima before it no longer count once baseHistoryLength
+// intervals have passed.
 func TestWindow_baseDelay_oldMinimaExpire(t *testing.T) {
 	w := New(Config{MaxSlots: 32, DelayTarget: 20 * time.Millisecond})
 	w.ObserveStart(time.Hour, time.Millisecond, false)
@@ -109,13 +114,15 @@
 		w.ObserveStart(time.Hour+time.Duration(m)*time.Minute, 50*time.Millisecond, false)
 	}
 	if base := w.baseDelay(time.Hour+12*time.Minute, 50*time.Millisecond); base != 50*time.Millisecond {
-		t.Errorf("base %v", base)
+		t.Errorf("base delay %v, want 50 ms", base)
 	}
 }
 
+// Under random calls the size stays within its limits, Acquire admits only what fits, and the slots in use
+// are counted exactly.
 func TestWindow_bounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := New(Config{MaxSlots: float64(rapid.IntRange(0, 40).Draw(t, "most")), DelayTarget: 20 * time.Millisecond})
+		w := New(Config{MaxSlots: float64(rapid.IntRange(0, 40).Draw(t, "max slots")), DelayTarget: 20 * time.Millisecond})
 		now, used := time.Hour, 0.0
 		for range rapid.IntRange(1, 200).Draw(t, "calls") {
 			now += time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond
@@ -124,7 +131,7 @@
 			case 0:
 				if w.Acquire(now, slots) {
 					if used > 0 && used+slots > w.State().Size {
-						t.Fatal("let through what does not fit")
+						t.Fatalf("Acquire gave %v slots with %v of %v in use", slots, used, w.State().Size)
 					}
 					used += slots
 				}
@@ -134,101 +141,104 @@
 					used -= slots
 				}
 			case 2:
-				w.ObserveStart(now, time.Duration(rapid.IntRange(0, 500).Draw(t, "wait"))*time.Millisecond, rapid.Bool().Draw(t, "ours"))
+				w.ObserveStart(now, time.Duration(rapid.IntRange(0, 500).Draw(t, "wait"))*time.Millisecond, rapid.Bool().Draw(t, "batch"))
 			default:
 				w.ObserveLoss(now)
 			}
 			if s := w.State(); s.Size < minSlots || s.Size > max(w.config.MaxSlots, minSlots) || s.Used != used {
-				t.Fatalf("%+v, %v used", s, used)
+				t.Fatalf("got state %+v; want a size from %v to %v and %v slots in use", s, minSlots, max(w.config.MaxSlots, minSlots), used)
 			}
 		}
 	})
 }
 
-// serverFarm simulates workers with a first-come queue: batch jobs pass a window, requests of the
-// other front do not.
-type serverFarm struct {
-	free int
-	line []*work
-	ends endHeap
+// workerPool simulates workers with a first-come, first-served queue. Batch jobs enter the queue through
+// a window, platform requests do not.
+type workerPool struct {
+	free    int // idle slots
+	queue   []*operation
+	running runningHeap
 }
 
-type work struct {
-	ours bool
-	came time.Duration
-	run  time.Duration
-	end  time.Duration
+// operation is a batch job or a platform request.
+type operation struct {
+	batch     bool
+	arrivedAt time.Duration
+	duration  time.Duration
+	endsAt    time.Duration
 }
 
-type endHeap []*work
+// runningHeap is a heap of the running operations, with the earliest end first.
+type runningHeap []*operation
 
-func (e endHeap) Len() int           { return len(e) }
-func (e endHeap) Less(i, j int) bool { return e[i].end < e[j].end }
-func (e endHeap) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
-func (e *endHeap) Push(x any)        { *e = append(*e, x.(*work)) }
-func (e *endHeap) Pop() any {
+func (e runningHeap) Len() int           { return len(e) }
+func (e runningHeap) Less(i, j int) bool { return e[i].endsAt < e[j].endsAt }
+func (e runningHeap) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
+func (e *runningHeap) Push(x any)        { *e = append(*e, x.(*operation)) }
+func (e *runningHeap) Pop() any {
 	old := *e
 	x := old[len(old)-1]
 	*e = old[:len(old)-1]
 	return x
 }
 
-// simulate runs a farm of 8 slots for a minute with a load of the other front, with or without an
-// endless backlog. It returns the other front's mean wait and the utilization.
-func simulate(load float64, backlog bool) (wait time.Duration, busy float64) {
-	const slots, run, span = 8, 100 * time.Millisecond, time.Minute
+// simulate runs a pool of 8 slots for a minute under a load of platform requests, with or without an
+// unlimited backlog of batch jobs. It returns the mean wait of the platform requests and the utilization
+// of the slots.
+func simulate(load float64, backlog bool) (wait time.Duration, utilization float64) {
+	const slots, meanDuration, simulatedTime = 8, 100 * time.Millisecond, time.Minute
 	w := New(Config{MaxSlots: 64, DelayTarget: 20 * time.Millisecond})
-	f := serverFarm{free: slots}
-	seed := uint64(1)
-	random := func() float64 { // a plain generator, so that the outcome is the same for ever
-		seed = seed*6364136223846793005 + 1442695040888963407
-		return float64(seed>>11) / (1 << 53)
-	}
-	var waits, served time.Duration
-	var n int
-	now, next := time.Duration(0), time.Duration(0)
-	for now < span {
+	pool := workerPool{free: slots}
+	randomState := uint64(1)
+	random := func() float64 { // a generator of its own, so that the results do not change with the standard library
+		randomState = randomState*6364136223846793005 + 1442695040888963407
+		return float64(randomState>>11) / (1 << 53)
+	}
+	var totalWait, busyTime time.Duration
+	var requests int
+	now, nextArrival := time.Duration(0), time.Duration(0)
+	for now < simulatedTime {
 		for backlog && w.Acquire(now, 1) {
-			f.line = append(f.line, &work{ours: true, came: now, run: time.Duration((0.5 + random()) * float64(run))})
+			pool.queue = append(pool.queue, &operation{batch: true, arrivedAt: now, duration: time.Duration((0.5 + random()) * float64(meanDuration))})
 		}
-		for f.free > 0 && len(f.line) > 0 {
-			j := f.line[0]
-			f.line, f.free = f.line[1:], f.free-1
-			j.end = now + j.run
-			heap.Push(&f.ends, j)
-			w.ObserveStart(now, now-j.came+time.Millisecond, j.ours)
-			if !j.ours {
-				waits, n = waits+now-j.came, n+1
+		for pool.free > 0 && len(pool.queue) > 0 {
+			op := pool.queue[0]
+			pool.queue, pool.free = pool.queue[1:], pool.free-1
+			op.endsAt = now + op.duration
+			heap.Push(&pool.running, op)
+			w.ObserveStart(now, now-op.arrivedAt+time.Millisecond, op.batch)
+			if !op.batch {
+				totalWait, requests = totalWait+now-op.arrivedAt, requests+1
 			}
-			served += j.run
+			busyTime += op.duration
 		}
-		if len(f.ends) > 0 && f.ends[0].end <= next {
-			j := heap.Pop(&f.ends).(*work)
-			now = j.end
-			f.free++
-			if j.ours {
+		if len(pool.running) > 0 && pool.running[0].endsAt <= nextArrival {
+			op := heap.Pop(&pool.running).(*operation)
+			now = op.endsAt
+			pool.free++
+			if op.batch {
 				w.Release(now, 1)
 			}
 			continue
 		}
-		now = next
-		f.line = append(f.line, &work{came: now, run: time.Duration((0.5 + random()) * float64(run))})
-		next = now + time.Duration((0.5+random())*float64(run)/(load*slots))
+		now = nextArrival
+		pool.queue = append(pool.queue, &operation{arrivedAt: now, duration: time.Duration((0.5 + random()) * float64(meanDuration))})
+		nextArrival = now + time.Duration((0.5+random())*float64(meanDuration)/(load*slots))
 	}
-	return waits / time.Duration(max(n, 1)), served.Seconds() / (span.Seconds() * slots)
+	return totalWait / time.Duration(max(requests, 1)), busyTime.Seconds() / (simulatedTime.Seconds() * slots)
 }
 
-// A backlog uses the spare capacity, and the other front's wait stays near the target.
+// A backlog of batch jobs uses the spare capacity, and the wait of platform requests stays near the target.
 func TestWindow_usesSpareCapacity(t *testing.T) {
 	for _, load := range []float64{0.3, 0.6, 0.8} {
-		alone, idle := simulate(load, false)
-		with, busy := simulate(load, true)
-		t.Logf("load %.1f: the other front waits %v alone, %v beside a backlog; slots in use %.2f, %.2f", load, alone, with, idle, busy)
-		if with > alone+25*time.Millisecond {
-			t.Errorf("load %.1f: the other front waits %v, alone %v", load, with, alone)
+		baseWait, baseUtilization := simulate(load, false)
+		backlogWait, utilization := simulate(load, true)
+		t.Logf("load %.1f: platform requests wait %v alone and %v beside a backlog; utilization %.2f and %.2f", load, baseWait, backlogWait, baseUtilization, utilization)
+		if backlogWait > baseWait+25*time.Millisecond {
+			t.Errorf("load %.1f: platform requests wait %v beside a backlog and %v alone, want 25 ms more at most", load, backlogWait, baseWait)
 		}
-		if busy < 0.85 {
-			t.Errorf("load %.1f: %.2f of the slots in use", load, busy)
+		if utilization < 0.85 {
+			t.Errorf("load %.1f: utilization %.2f with a backlog, want at least 0.85", load, utilization)
 		}
 	}
 }
