--- a/internal/node/batch/httpapi/admin.go
+++ b/internal/node/batch/httpapi/admin.go
@@ -16,31 +16,31 @@
 	maxQuota  = 1_000_000
 )
 
-// Admin serves the administration of the batch front: tenants, their quotas and tokens, and all
-// jobs. It has an address and a token of its own.
+// Admin serves the administration API of the batch API: tenants, their quotas and tokens, and the jobs
+// of all tenants. It has its own address and token.
 type Admin struct {
 	front     *Front
 	store     jobs.StoreExecutor
 	tokenHash string
-	creating  map[string]bool // tenants that are being recorded
+	creating  map[string]bool // names of tenants whose creation is being stored
 }
 
-// NewAdmin returns the administration; tokenHash is the TokenHash of its token.
+// NewAdmin returns the administration API. tokenHash is the TokenHash of its token.
 func NewAdmin(f *Front, store jobs.StoreExecutor, tokenHash string) *Admin {
 	return &Admin{front: f, store: store, tokenHash: tokenHash, creating: map[string]bool{}}
 }
 
-// SetTokenHash replaces the token.
+// SetTokenHash replaces the token by the one with this TokenHash.
 func (a *Admin) SetTokenHash(hash string) { a.tokenHash = hash }
 
-// Serve serves one call of the administration.
+// Serve serves one call of the administration API.
 func (a *Admin) Serve(call *protocol.Call) {
-	token, ok := bearer(call)
+	token, ok := bearerToken(call)
 	if !ok || subtle.ConstantTimeCompare([]byte(TokenHash(token)), []byte(a.tokenHash)) != 1 {
-		replyError(call, denied)
+		replyError(call, invalidToken)
 		return
 	}
-	parts, query, ok := pathOf(call, adminRoot)
+	parts, query, ok := splitTarget(call, adminRoot)
 	if !ok {
 		replyError(call, unknownPath)
 		return
@@ -48,15 +48,15 @@
 	method := string(call.Method)
 	switch {
 	case len(parts) == 1 && parts[0] == "tenants" && method == "GET":
-		a.tenants(call)
+		a.listTenants(call)
 	case len(parts) == 1 && parts[0] == "tenants" && method == "POST":
-		a.create(call)
+		a.createTenant(call)
 	case len(parts) == 2 && parts[0] == "tenants" && method == "PUT":
-		a.change(call, parts[1])
+		a.changeQuota(call, parts[1])
 	case len(parts) == 2 && parts[0] == "tenants" && method == "DELETE":
-		a.remove(call, parts[1])
+		a.disableTenant(call, parts[1])
 	case len(parts) == 3 && parts[0] == "tenants" && parts[2] == "token" && method == "POST":
-		a.rotate(call, parts[1])
+		a.rotateToken(call, parts[1])
 	case len(parts) == 3 && parts[0] == "tenants" && parts[2] == "jobs" && method == "GET":
 		a.listJobs(call, parts[1], query)
 	case len(parts) == 1 && parts[0] == "jobs" && method == "GET":
@@ -64,21 +64,21 @@
 	case len(parts) == 1 && parts[0] == "queue" && method == "GET":
 		reply(call, 200, a.front.jobs.Counts())
 	case len(parts) == 1 && parts[0] == "undecided" && method == "GET":
-		a.undecided(call, query)
+		a.listUndecided(call, query)
 	case len(parts) == 3 && parts[0] == "jobs" && parts[2] == "settle" && method == "POST":
-		a.settle(call, parts[1])
+		a.settleJob(call, parts[1])
 	case len(parts) == 3 && parts[0] == "jobs" && parts[2] == "terminate" && method == "POST":
-		a.front.show(call, 202)(a.front.jobs.TerminateID(parts[1]))
+		a.front.jobReplier(call, 202)(a.front.jobs.TerminateID(parts[1]))
 	default:
 		replyError(call, unknownPath)
 	}
 }
 
-// tenantView is a tenant as the administration shows it.
+// tenantView is a tenant as the administration API shows it.
 type tenantView struct {
 	jobs.Tenant
 	Unfinished int    `json:"unfinishedJobs"`
-	Token      string `json:"token,omitempty"` // shown once, when it is created
+	Token      string `json:"token,omitempty"` // present only in the response that creates the token
 }
 
 var unknownTenant = &drmaa.Error{Status: 404, Name: drmaa.InvalidArgument, Message: "no such tenant"}
@@ -86,28 +86,28 @@
 // newToken returns a random token of 48 hexadecimal digits.
 func newToken() string {
 	var b [24]byte
-	_, _ = rand.Read(b[:]) // never fails, as of Go 1.24
+	_, _ = rand.Read(b[:]) // never returns an error, as of Go 1.24
 	return hex.EncodeToString(b[:])
 }
 
-// callStore runs a call of the store. Then then is called, or fail and the call is answered with
-// the error.
-func (a *Admin) callStore(call *protocol.Call, do func(context.Context, jobs.Store) error, then, fail func()) {
-	if !a.store.Call(do, func(err error) {
+// withStore calls run with the store. After success it calls onSuccess. If run fails or the store accepts
+// no call, it calls onFailure and responds with the error.
+func (a *Admin) withStore(call *protocol.Call, run func(context.Context, jobs.Store) error, onSuccess, onFailure func()) {
+	if !a.store.Call(run, func(err error) {
 		if err != nil {
-			fail()
+			onFailure()
 			replyError(call, jobs.StoreFailed)
 			return
 		}
-		then()
+		onSuccess()
 	}) {
-		fail()
+		onFailure()
 		replyError(call, jobs.StoreBehind)
 	}
 }
 
-// tenants answers with all tenants.
-func (a *Admin) tenants(call *protocol.Call) {
+// listTenants responds with all tenants.
+func (a *Admin) listTenants(call *protocol.Call) {
 	out := []tenantView{}
 	for _, t := range a.front.jobs.Tenants() {
 		out = append(out, tenantView{Tenant: t.Tenant, Unfinished: t.Unfinished()})
@@ -117,31 +117,31 @@
 	}{out})
 }
 
-// storeTenant records a tenant, and then puts it into effect and answers with it.
+// storeTenant writes a tenant to the store, then puts it into effect and responds with it.
 func (a *Admin) storeTenant(call *protocol.Call, t jobs.Tenant, status int, token string) {
-	a.callStore(call, func(ctx context.Context, store jobs.Store) error { return store.PutTenant(ctx, t) }, func() {
+	a.withStore(call, func(ctx context.Context, store jobs.Store) error { return store.PutTenant(ctx, t) }, func() {
 		delete(a.creating, t.Name)
 		reply(call, status, tenantView{Tenant: t, Unfinished: a.front.jobs.PutTenant(t).Unfinished(), Token: token})
 	}, func() { delete(a.creating, t.Name) })
 }
 
-// create creates a tenant with a token.
-func (a *Admin) create(call *protocol.Call) {
+// createTenant creates a tenant with a new token.
+func (a *Admin) createTenant(call *protocol.Call) {
 	var in jobs.Tenant
-	if p := decodeBody(call, &in); p != nil {
-		replyError(call, p)
+	if e := decodeBody(call, &in); e != nil {
+		replyError(call, e)
 		return
 	}
-	p := checkName(in.Name)
+	e := checkName(in.Name)
 	switch {
-	case p != nil:
+	case e != nil:
 	case in.Quota < 0 || in.Quota > maxQuota:
-		p = drmaa.InvalidArgumentError("maxUnfinishedJobs", "not from 0 to %d", maxQuota)
+		e = drmaa.InvalidArgumentError("maxUnfinishedJobs", "%d is not from 0 to %d", in.Quota, maxQuota)
 	case a.front.jobs.Tenant(in.Name) != nil || a.creating[in.Name]:
-		p = drmaa.InvalidStateError("the tenant is there already")
+		e = drmaa.InvalidStateError("the tenant exists already")
 	}
-	if p != nil {
-		replyError(call, p)
+	if e != nil {
+		replyError(call, e)
 		return
 	}
 	token := newToken()
@@ -150,27 +150,27 @@
 	a.storeTenant(call, in, 201, token)
 }
 
-// change changes a tenant's quota.
-func (a *Admin) change(call *protocol.Call, name string) {
+// changeQuota changes a tenant's quota.
+func (a *Admin) changeQuota(call *protocol.Call, name string) {
 	t := a.front.jobs.Tenant(name)
 	if t == nil {
 		replyError(call, unknownTenant)
 		return
 	}
 	in := t.Tenant
-	if p := decodeBody(call, &in); p != nil {
-		replyError(call, p)
+	if e := decodeBody(call, &in); e != nil {
+		replyError(call, e)
 		return
 	}
 	if in.Name != name || in.Quota < 0 || in.Quota > maxQuota {
-		replyError(call, drmaa.InvalidArgumentError("maxUnfinishedJobs", "wants 0 to %d, and the tenant's own name", maxQuota))
+		replyError(call, drmaa.InvalidArgumentError("maxUnfinishedJobs", "must be from 0 to %d, and the name, if given, must be the tenant's: got %d for %q", maxQuota, in.Quota, in.Name))
 		return
 	}
 	a.storeTenant(call, in, 200, "")
 }
 
-// rotate replaces a tenant's token.
-func (a *Admin) rotate(call *protocol.Call, name string) {
+// rotateToken replaces a tenant's token.
+func (a *Admin) rotateToken(call *protocol.Call, name string) {
 	t := a.front.jobs.Tenant(name)
 	if t == nil {
 		replyError(call, unknownTenant)
@@ -181,9 +181,9 @@
 	a.storeTenant(call, in, 200, token)
 }
 
-// remove disables a tenant. Its submitted jobs run to their end. Its name stays taken: a new
-// tenant of that name would see the old one's jobs.
-func (a *Admin) remove(call *protocol.Call, name string) {
+// disableTenant disables a tenant. The jobs that it has submitted still run to their end. Its name
+// stays reserved, because a new tenant of that name would see the old one's jobs.
+func (a *Admin) disableTenant(call *protocol.Call, name string) {
 	t := a.front.jobs.Tenant(name)
 	if t == nil {
 		replyError(call, unknownTenant)
@@ -191,13 +191,13 @@
 	}
 	in := t.Tenant
 	in.TokenHash, in.Quota = "none: "+name, 0
-	a.callStore(call, func(ctx context.Context, store jobs.Store) error { return store.PutTenant(ctx, in) }, func() {
+	a.withStore(call, func(ctx context.Context, store jobs.Store) error { return store.PutTenant(ctx, in) }, func() {
 		a.front.jobs.PutTenant(in)
 		call.Reply(204, "", nil)
 	}, func() {})
 }
 
-// listJobs answers with one page of a tenant's jobs, or of all.
+// listJobs responds with one page of the jobs of a tenant, or of all tenants if tenant is empty.
 func (a *Admin) listJobs(call *protocol.Call, tenant, query string) {
 	if tenant != "" && a.front.jobs.Tenant(tenant) == nil {
 		replyError(call, unknownTenant)
@@ -217,11 +217,11 @@
 	})
 }
 
-// undecided answers with one page of the jobs that a person must decide on.
-func (a *Admin) undecided(call *protocol.Call, query string) {
+// listUndecided responds with one page of the jobs that may have run and wait for an operator's decision.
+func (a *Admin) listUndecided(call *protocol.Call, query string) {
 	f, e := drmaa.ReadFilter(query)
 	if e == nil && f.Query() != (drmaa.Filter{Limit: f.Limit, Before: f.Before}).Query() {
-		e = drmaa.InvalidArgumentError("query", "knows limit and next alone")
+		e = drmaa.InvalidArgumentError("query", "accepts only limit and next")
 	}
 	if e != nil {
 		replyError(call, e)
@@ -238,8 +238,8 @@
 
 const maxReasonBytes = 1000
 
-// settle records a person's decision on an undecided job.
-func (a *Admin) settle(call *protocol.Call, id string) {
+// settleJob records an operator's decision whether an undecided job has run.
+func (a *Admin) settleJob(call *protocol.Call, id string) {
 	var in struct {
 		Ran    *bool  `json:"ran"`
 		Reason string `json:"reason"`
@@ -248,9 +248,9 @@
 	switch {
 	case e != nil:
 	case in.Ran == nil:
-		e = drmaa.InvalidArgumentError("ran", "missing: true or false")
+		e = drmaa.InvalidArgumentError("ran", "is missing; it must be true or false")
 	case in.Reason == "" || len(in.Reason) > maxReasonBytes:
-		e = drmaa.InvalidArgumentError("reason", "wants 1 to %d bytes", maxReasonBytes)
+		e = drmaa.InvalidArgumentError("reason", "has %d bytes; it must have 1 to %d", len(in.Reason), maxReasonBytes)
 	}
 	if e != nil {
 		replyError(call, e)
--- a/internal/node/batch/httpapi/binding.go
+++ b/internal/node/batch/httpapi/binding.go
@@ -1,8 +1,8 @@
-// Package httpapi is the HTTP/1.1 and JSON binding of the batch front, as docs/BATCH.md describes
-// it, and its administration. It parses and validates calls, authenticates tenants, and writes
-// the answers; what a call does is in package jobs.
+// Package httpapi is the HTTP/1.1 and JSON binding of the batch API, described in docs/BATCH.md, and of
+// its administration API. It parses and validates calls, authenticates tenants and writes the
+// responses; package jobs implements the operations.
 //
-// Front and Admin serve calls of a protocol.Server, on the event loop.
+// Front and Admin serve the calls of a protocol.Server, on the event loop.
 package httpapi
 
 import (
@@ -23,17 +23,17 @@
 )
 
 const (
-	root     = "/drmaa/v2"
+	apiRoot  = "/drmaa/v2"
 	maxWait  = 10 * time.Minute
 	jsonType = "Content-Type: application/json\r\n"
 )
 
 var (
-	unknownPath = &drmaa.Error{Status: 404, Name: drmaa.UnsupportedOperation, Message: "no such operation"}
-	denied      = &drmaa.Error{Status: 401, Name: drmaa.Denied, Message: "no valid token"}
+	unknownPath  = &drmaa.Error{Status: 404, Name: drmaa.UnsupportedOperation, Message: "no such operation"}
+	invalidToken = &drmaa.Error{Status: 401, Name: drmaa.Denied, Message: "no valid token"}
 )
 
-// Front serves the calls of batch clients.
+// Front serves the batch API.
 type Front struct {
 	jobs    *jobs.Manager
 	clock   routing.Clock
@@ -41,7 +41,7 @@
 	version string
 }
 
-// New returns a front. version is the program's.
+// New returns the server of the batch API. version is the version of the program.
 func New(manager *jobs.Manager, clock routing.Clock, timers *timerqueue.Queue, version string) *Front {
 	return &Front{jobs: manager, clock: clock, timers: timers, version: version}
 }
@@ -50,26 +50,26 @@
 type apiCall struct {
 	*protocol.Call
 	tenant *jobs.TenantState
-	hash   string // of its token; see TokenHash
+	hash   string // TokenHash of its token
 	method string
-	path   []string // the path's parts after the root
+	path   []string // the path's segments after apiRoot
 	query  string
 }
 
-// Serve serves one call of the binding.
+// Serve serves one call of the batch API.
 func (f *Front) Serve(in *protocol.Call) {
 	call := &apiCall{Call: in, method: string(in.Method)}
-	// Tokens are looked up by their hashes, so that timing reveals nothing of a token.
-	if token, ok := bearer(in); ok {
+	// Tokens are looked up by their hashes, so that response times reveal nothing about a valid token.
+	if token, ok := bearerToken(in); ok {
 		call.hash = TokenHash(token)
 		call.tenant = f.jobs.ByToken(call.hash)
 	}
 	if call.tenant == nil {
-		replyError(call, denied)
+		replyError(call, invalidToken)
 		return
 	}
 	ok := false
-	if call.path, call.query, ok = pathOf(in, root); !ok {
+	if call.path, call.query, ok = splitTarget(in, apiRoot); !ok {
 		replyError(call, unknownPath)
 		return
 	}
@@ -81,79 +81,79 @@
 	serve(f, call)
 }
 
-// routes are the handlers by method and path. A '*' stands for a session's name, a job's or an
-// array's ID.
+// routes maps method and path to the handler. A '*' stands for the name of a session or the ID of a job
+// or an array.
 var routes = map[string]func(*Front, *apiCall){
-	"GET ":                             (*Front).manager,
-	"GET sessions":                     (*Front).sessions,
-	"POST sessions":                    (*Front).newSession,
-	"GET sessions/*":                   (*Front).session,
+	"GET ":                             (*Front).getManager,
+	"GET sessions":                     (*Front).listSessions,
+	"POST sessions":                    (*Front).createSession,
+	"GET sessions/*":                   (*Front).getSession,
 	"DELETE sessions/*":                (*Front).closeSession,
 	"POST sessions/*/control":          (*Front).controlSession,
 	"POST sessions/*/wait":             (*Front).waitAny,
-	"GET sessions/*/events":            (*Front).events,
+	"GET sessions/*/events":            (*Front).readEvents,
 	"GET sessions/*/jobs":              (*Front).listJobs,
 	"POST sessions/*/jobs":             (*Front).submit,
-	"GET sessions/*/jobs/*":            (*Front).job,
-	"POST sessions/*/jobs/*/wait":      (*Front).wait,
-	"POST sessions/*/jobs/*/control":   (*Front).control,
+	"GET sessions/*/jobs/*":            (*Front).getJob,
+	"POST sessions/*/jobs/*/wait":      (*Front).waitJob,
+	"POST sessions/*/jobs/*/control":   (*Front).controlJob,
 	"POST sessions/*/arrays":           (*Front).submitBulk,
-	"GET sessions/*/arrays/*":          (*Front).array,
+	"GET sessions/*/arrays/*":          (*Front).getArray,
 	"POST sessions/*/arrays/*/wait":    (*Front).waitArray,
 	"POST sessions/*/arrays/*/control": (*Front).controlArray,
 	"GET monitoring/jobs":              (*Front).listJobs,
-	"GET monitoring/queues":            (*Front).queues,
-	"GET monitoring/machines":          (*Front).machines,
-	"GET monitoring/reservations":      (*Front).reservations,
-	"GET reservations":                 (*Front).reservations,
-	"POST reservations":                (*Front).reservations,
+	"GET monitoring/queues":            (*Front).listQueues,
+	"GET monitoring/machines":          (*Front).listMachines,
+	"GET monitoring/reservations":      (*Front).rejectReservations,
+	"GET reservations":                 (*Front).rejectReservations,
+	"POST reservations":                (*Front).rejectReservations,
 }
 
-// route returns the handler of a call, or nil.
+// route returns the handler of a call, or nil if the path or the method is unknown.
 func route(call *apiCall) func(*Front, *apiCall) {
-	shape := slices.Clone(call.path)
-	for _, at := range []int{1, 3} {
-		if at < len(shape) && shape[0] == "sessions" {
-			shape[at] = "*"
+	pattern := slices.Clone(call.path)
+	for _, position := range []int{1, 3} {
+		if position < len(pattern) && pattern[0] == "sessions" {
+			pattern[position] = "*"
 		}
 	}
-	return routes[call.method+" "+strings.Join(shape, "/")]
+	return routes[call.method+" "+strings.Join(pattern, "/")]
 }
 
-// queues answers with the classes of jobs.
-func (f *Front) queues(call *apiCall) {
+// listQueues responds with the job classes.
+func (f *Front) listQueues(call *apiCall) {
 	reply(call, 200, struct {
 		Queues []drmaa.Queue `json:"queues"`
 	}{f.jobs.Queues(call.tenant)})
 }
 
-// machines answers with the prep workers.
-func (f *Front) machines(call *apiCall) {
+// listMachines responds with the prep workers.
+func (f *Front) listMachines(call *apiCall) {
 	reply(call, 200, struct {
 		Machines []drmaa.Machine `json:"machines"`
 	}{f.jobs.Machines(call.tenant)})
 }
 
-// reservations rejects all calls on advance reservations.
-func (f *Front) reservations(call *apiCall) {
+// rejectReservations rejects all calls on advance reservations.
+func (f *Front) rejectReservations(call *apiCall) {
 	replyError(call, drmaa.UnsupportedOperationError("there are no advance reservations"))
 }
 
-// TokenHash returns the hexadecimal SHA-256 of a token, by which the store has it.
+// TokenHash returns the hexadecimal SHA-256 of a token, the form in which the store holds it.
 func TokenHash(token string) string {
 	sum := sha256.Sum256([]byte(token))
 	return hex.EncodeToString(sum[:])
 }
 
-// bearer returns the bearer token of a call.
-func bearer(call *protocol.Call) (string, bool) {
+// bearerToken returns the bearer token of a call. ok is false if there is none.
+func bearerToken(call *protocol.Call) (token string, ok bool) {
 	kind, token, _ := strings.Cut(string(call.Header("Authorization")), " ")
 	return token, strings.EqualFold(kind, "Bearer") && token != ""
 }
 
-// pathOf returns the unescaped parts of a call's path after the root, and the query. ok is false
-// if the path is not under the root.
-func pathOf(call *protocol.Call, root string) (parts []string, query string, ok bool) {
+// splitTarget returns the unescaped segments of a call's path after root, and the query. ok is false if
+// the path is not below root or has an empty or invalid segment.
+func splitTarget(call *protocol.Call, root string) (parts []string, query string, ok bool) {
 	path, query, _ := strings.Cut(string(call.Target), "?")
 	if path == root {
 		return nil, query, true
@@ -164,31 +164,31 @@
 	}
 	parts = strings.Split(rest, "/")
 	for i, p := range parts {
-		plain, err := url.PathUnescape(p)
-		if err != nil || plain == "" {
+		unescaped, err := url.PathUnescape(p)
+		if err != nil || unescaped == "" {
 			return nil, "", false
 		}
-		parts[i] = plain
+		parts[i] = unescaped
 	}
 	return parts, query, true
 }
 
-// answerer is a call to be answered.
-type answerer interface {
+// responder is a call that waits for its response.
+type responder interface {
 	Reply(status int, extra string, body []byte)
 }
 
-// reply answers a call with a JSON document.
-func reply(call answerer, status int, v any) {
+// reply responds to a call with v as a JSON document.
+func reply(call responder, status int, v any) {
 	body, err := json.Marshal(v)
 	if err != nil {
-		panic(err) // unreachable: answers have plain fields alone
+		panic(err) // unreachable: every field of a response can be encoded
 	}
 	call.Reply(status, jsonType, append(body, '\n'))
 }
 
-// replyError answers a call with an error of the binding.
-func replyError(call answerer, e *drmaa.Error) {
+// replyError responds to a call with an error document.
+func replyError(call responder, e *drmaa.Error) {
 	extra := jsonType
 	if e.RetryAfter > 0 {
 		extra += protocol.RetryAfter(e.RetryAfter)
@@ -200,7 +200,7 @@
 	call.Reply(e.Status, extra, append(body, '\n'))
 }
 
-// decodeBody decodes the JSON object in a call's body, which may be empty.
+// decodeBody decodes the JSON object in a call's body. An empty body leaves into unchanged.
 func decodeBody(call *protocol.Call, into any) *drmaa.Error {
 	if len(call.Body) == 0 {
 		return nil
@@ -208,8 +208,8 @@
 	return drmaa.Decode(call.Body, into, "the body")
 }
 
-// FormatError returns header lines and body of an error of the binding, for the answer to a
-// request that a server rejects; see protocol.Server.FormatError.
+// FormatError returns the header lines and the body of an error document, for a request that the HTTP
+// server itself rejects; see protocol.Server.FormatError.
 func FormatError(status int, text string) (extra string, body []byte) {
 	e := &drmaa.Error{Name: drmaa.InvalidArgument, Message: text}
 	if status == 503 {
@@ -226,20 +226,20 @@
 func checkName(name string) *drmaa.Error {
 	if name == "" || len(name) > 64 || strings.Trim(name, "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_.") != "" ||
 		name == "." || name == ".." {
-		return drmaa.InvalidArgumentError("name", "wants 1 to 64 of letters, digits, '-', '_' and '.'")
+		return drmaa.InvalidArgumentError("name", "must have 1 to 64 characters out of letters, digits, '-', '_' and '.'")
 	}
 	return nil
 }
 
-// manager answers with the session manager's attributes and its supports().
-func (f *Front) manager(call *apiCall) {
+// getManager responds with the attributes of the service and the results of supports().
+func (f *Front) getManager(call *apiCall) {
 	reply(call, 200, drmaa.Manager{DrmsName: "ospreybend", DrmsVersion: f.version, DrmaaName: "ospreybend HTTP binding",
 		DrmaaVersion: "2.2", Categories: slices.Sorted(maps.Keys(f.jobs.Classes())), Supports: drmaa.Supports(), UnsupportedAttributes: drmaa.UnsupportedAttributes,
 		MaxBulkJobs: drmaa.MaxBulkJobs})
 }
 
-// sessions answers with the tenant's sessions.
-func (f *Front) sessions(call *apiCall) {
+// listSessions responds with the tenant's sessions.
+func (f *Front) listSessions(call *apiCall) {
 	all := f.jobs.Sessions(call.tenant)
 	names := make([]string, len(all))
 	for i, s := range all {
@@ -251,9 +251,9 @@
 	}{names, all})
 }
 
-// newSession is createJobSession and openJobSession. Without a mode it creates the session or
-// opens it, as needed.
-func (f *Front) newSession(call *apiCall) {
+// createSession is createJobSession and openJobSession. Without a mode it opens the session and creates
+// it if it does not exist.
+func (f *Front) createSession(call *apiCall) {
 	var in struct {
 		Name string `json:"name"`
 		Mode string `json:"mode"`
@@ -262,19 +262,19 @@
 	if e == nil {
 		e = checkName(in.Name)
 	}
-	must, ok := map[string]string{"": "", "create": "create", "open": "exist"}[in.Mode]
+	requirement, ok := map[string]string{"": "", "create": "create", "open": "exist"}[in.Mode]
 	if e == nil && !ok {
-		e = drmaa.InvalidArgumentError("mode", "neither create nor open")
+		e = drmaa.InvalidArgumentError("mode", "%q is neither create nor open", in.Mode)
 	}
 	if e != nil {
 		replyError(call, e)
 		return
 	}
-	f.jobs.SetSession(call.tenant, in.Name, jobs.SessionOpen, must, f.showSession(call, 201))
+	f.jobs.SetSession(call.tenant, in.Name, jobs.SessionOpen, requirement, f.sessionReplier(call, 201))
 }
 
-// showSession returns a callback that answers with a session, or without a body for status 204.
-func (f *Front) showSession(call *apiCall, status int) func(*jobs.Session, *drmaa.Error) {
+// sessionReplier returns a callback that responds with a session, or without a body if status is 204.
+func (f *Front) sessionReplier(call *apiCall, status int) func(*jobs.Session, *drmaa.Error) {
 	return func(s *jobs.Session, e *drmaa.Error) {
 		switch {
 		case e != nil:
@@ -287,8 +287,8 @@
 	}
 }
 
-// session answers with a session in any state.
-func (f *Front) session(call *apiCall) {
+// getSession responds with a session in any state.
+func (f *Front) getSession(call *apiCall) {
 	for _, s := range f.jobs.Sessions(call.tenant) {
 		if s.Name == call.path[1] {
 			reply(call, 200, s)
@@ -300,7 +300,7 @@
 
 // closeSession is closeJobSession.
 func (f *Front) closeSession(call *apiCall) {
-	f.jobs.SetSession(call.tenant, call.path[1], jobs.SessionClosed, "exist", f.showSession(call, 204))
+	f.jobs.SetSession(call.tenant, call.path[1], jobs.SessionClosed, "exist", f.sessionReplier(call, 204))
 }
 
 // controlSession opens, closes or destroys a session.
@@ -310,9 +310,9 @@
 	case e != nil:
 		replyError(call, e)
 	case action == "open":
-		f.jobs.SetSession(call.tenant, call.path[1], jobs.SessionOpen, "exist", f.showSession(call, 200))
+		f.jobs.SetSession(call.tenant, call.path[1], jobs.SessionOpen, "exist", f.sessionReplier(call, 200))
 	case action == "close":
-		f.jobs.SetSession(call.tenant, call.path[1], jobs.SessionClosed, "exist", f.showSession(call, 200))
+		f.jobs.SetSession(call.tenant, call.path[1], jobs.SessionClosed, "exist", f.sessionReplier(call, 200))
 	case action == "destroy":
 		f.jobs.DestroySession(call.tenant, call.path[1], func(e *drmaa.Error) {
 			if e != nil {
@@ -326,14 +326,14 @@
 	}
 }
 
-// readAction returns the action that a call's body names.
+// readAction returns the action named in a call's body.
 func readAction(call *apiCall) (string, *drmaa.Error) {
 	var in struct {
 		Action string `json:"action"`
 	}
 	e := decodeBody(call.Call, &in)
 	if e == nil && in.Action == "" {
-		e = drmaa.InvalidArgumentError("action", "missing")
+		e = drmaa.InvalidArgumentError("action", "is missing")
 	}
 	return in.Action, e
 }
--- a/internal/node/batch/httpapi/events.go
+++ b/internal/node/batch/httpapi/events.go
@@ -11,15 +11,16 @@
 )
 
 const (
-	maxEvents               = 500                   // in one answer, or in one line of a stream
-	slowClientPollInterval  = 50 * time.Millisecond // between two looks whether a slow client has read the last line
-	streamHeartbeatInterval = 10 * time.Second      // at most between two lines of a stream
+	maxEvents               = 500                   // in one response, or in one line of a stream
+	slowClientPollInterval  = 50 * time.Millisecond // between two checks whether a slow client has read the last line
+	streamHeartbeatInterval = 10 * time.Second      // maximum time between two lines of a stream
 	ndjsonType              = "Content-Type: application/x-ndjson\r\n"
 )
 
-// events answers with the events after a cursor: at once if there are some, else with the first
-// or at the timeout; or, with stream=1, with a line for each batch of events.
-func (f *Front) events(call *apiCall) {
+// readEvents responds with the events after a cursor: at once if there are any, otherwise as soon as there
+// is one or at the timeout. With stream=1 it responds with a stream that has a line for each batch of
+// events.
+func (f *Front) readEvents(call *apiCall) {
 	if _, e := f.jobs.Session(call.tenant, call.path[1]); e != nil {
 		replyError(call, e)
 		return
@@ -33,45 +34,45 @@
 	for name := range values {
 		v := values.Get(name)
 		n, err := strconv.ParseFloat(v, 64)
-		bad := false
+		invalid := false
 		switch name {
 		case "cursor":
 		case "stream":
-			r.stream, bad = v == "1", v != "1" && v != "0"
+			r.stream, invalid = v == "1", v != "1" && v != "0"
 		case "timeout":
 			r.timeout = time.Duration(n * float64(time.Second))
-			bad = err != nil || !(n >= 0) || n > maxWait.Seconds()
+			invalid = err != nil || !(n >= 0) || n > maxWait.Seconds()
 		case "limit":
 			r.limit = int(n)
-			bad = err != nil || !(n >= 1) || n > maxEvents
+			invalid = err != nil || !(n >= 1) || n > maxEvents
 		default:
-			replyError(call, drmaa.InvalidArgumentError(name, "no such parameter"))
+			replyError(call, drmaa.InvalidArgumentError(name, "unknown parameter"))
 			return
 		}
-		if bad {
-			replyError(call, drmaa.InvalidArgumentError(name, "%q makes no sense here", v))
+		if invalid {
+			replyError(call, drmaa.InvalidArgumentError(name, "%q is not a valid value", v))
 			return
 		}
 	}
 	r.start()
 }
 
-// eventReader is one client that reads events. It has a cursor and no events: those that its
-// connection does not take yet stay in the tenant's bounded stream.
+// eventReader is a client that reads events. It holds a cursor but buffers no events: those that its
+// connection cannot take yet stay in the tenant's bounded stream.
 type eventReader struct {
-	front      *Front
-	call       *apiCall
-	cursor     string
-	limit      int
-	stream     bool
-	timeout    time.Duration
-	unfollow   func()
-	stopped    bool
-	timer      *timerqueue.Timer // of the next poll
-	nextLineAt time.Duration     // when a line must be sent, or the wait ends
+	front        *Front
+	call         *apiCall
+	cursor       string
+	limit        int
+	stream       bool
+	timeout      time.Duration
+	cancelFollow func()
+	stopped      bool
+	timer        *timerqueue.Timer // the next poll
+	nextLineAt   time.Duration     // when a line must be sent, or the wait ends
 }
 
-// start answers at once, or starts to wait or to stream.
+// start responds at once, or starts a wait or a stream.
 func (r *eventReader) start() {
 	f := r.front
 	first, e := f.jobs.Events(r.call.tenant, r.call.path[1], r.cursor, r.limit)
@@ -84,26 +85,26 @@
 		return
 	}
 	r.nextLineAt = f.clock.Now() + r.timeout
-	r.unfollow = f.jobs.Follow(r.call.tenant, func() { r.wakeAt(f.clock.Now()) })
+	r.cancelFollow = f.jobs.Follow(r.call.tenant, func() { r.wakeAt(f.clock.Now()) })
 	r.call.OnClientGone(r.stop)
 	if !r.stream {
-		r.cursor = first.Cursor // the present, if there was none
+		r.cursor = first.Cursor // the current position, if the client gave no cursor
 		r.wakeAt(r.nextLineAt)
 		return
 	}
 	if !r.call.BeginStream(200, ndjsonType) {
 		r.stop()
-		replyError(r.call, &drmaa.Error{Status: 400, Name: drmaa.InvalidArgument, Attribute: "stream", Message: "stream: wants HTTP/1.1"})
+		replyError(r.call, &drmaa.Error{Status: 400, Name: drmaa.InvalidArgument, Attribute: "stream", Message: "stream: requires HTTP/1.1"})
 		return
 	}
 	r.writeLine(first)
 	r.poll()
 }
 
-// stop ends the reading.
+// stop ends the wait or the stream.
 func (r *eventReader) stop() {
 	r.stopped = true
-	r.unfollow()
+	r.cancelFollow()
 	r.front.timers.Cancel(r.timer)
 	r.timer = nil
 }
@@ -150,7 +151,7 @@
 	}
 }
 
-// writeLine sends a line of a stream.
+// writeLine sends a batch of events as one line of a stream.
 func (r *eventReader) writeLine(got *drmaa.Events) {
 	r.cursor, r.nextLineAt = got.Cursor, r.front.clock.Now()+streamHeartbeatInterval
 	line, err := json.Marshal(got)
--- a/internal/node/batch/httpapi/jobs.go
+++ b/internal/node/batch/httpapi/jobs.go
@@ -7,8 +7,8 @@
 	"ospreybend/internal/node/batch/jobs"
 )
 
-// show returns a callback that answers with a job.
-func (f *Front) show(call answerer, status int) func(*jobs.Job, *drmaa.Error) {
+// jobReplier returns a callback that responds with a job or an error.
+func (f *Front) jobReplier(call responder, status int) func(*jobs.Job, *drmaa.Error) {
 	return func(j *jobs.Job, e *drmaa.Error) {
 		if e != nil {
 			replyError(call, e)
@@ -18,8 +18,8 @@
 	}
 }
 
-// showArray returns a callback that answers with a job array.
-func (f *Front) showArray(call answerer, status int) func(*jobs.Array, *drmaa.Error) {
+// arrayReplier returns a callback that responds with a job array or an error.
+func (f *Front) arrayReplier(call responder, status int) func(*jobs.Array, *drmaa.Error) {
 	return func(a *jobs.Array, e *drmaa.Error) {
 		if e != nil {
 			replyError(call, e)
@@ -36,7 +36,7 @@
 		replyError(call, e)
 		return
 	}
-	f.jobs.Submit(call.tenant, call.path[1], template, f.show(call, 202))
+	f.jobs.Submit(call.tenant, call.path[1], template, f.jobReplier(call, 202))
 }
 
 // submitBulk is runBulkJobs.
@@ -53,10 +53,10 @@
 		replyError(call, e)
 		return
 	}
-	f.jobs.SubmitBulk(call.tenant, call.path[1], &b, f.showArray(call, 202))
+	f.jobs.SubmitBulk(call.tenant, call.path[1], &b, f.arrayReplier(call, 202))
 }
 
-// listJobs answers with one page of a session's jobs, or of all of the tenant's.
+// listJobs responds with one page of a session's jobs, or of all the tenant's jobs.
 func (f *Front) listJobs(call *apiCall) {
 	filter, e := drmaa.ReadFilter(call.query)
 	session := ""
@@ -77,51 +77,52 @@
 	})
 }
 
-// job answers with a job.
-func (f *Front) job(call *apiCall) {
-	f.jobs.Find(call.tenant, call.path[1], call.path[3], f.show(call, 200))
+// getJob responds with a job.
+func (f *Front) getJob(call *apiCall) {
+	f.jobs.Find(call.tenant, call.path[1], call.path[3], f.jobReplier(call, 200))
 }
 
-// array answers with a job array.
-func (f *Front) array(call *apiCall) {
-	f.jobs.FindArray(call.tenant, call.path[1], call.path[3], f.showArray(call, 200))
+// getArray responds with a job array.
+func (f *Front) getArray(call *apiCall) {
+	f.jobs.FindArray(call.tenant, call.path[1], call.path[3], f.arrayReplier(call, 200))
 }
 
 // waitRequest is the body of a wait call.
 type waitRequest struct {
 	Timeout float64  `json:"timeout"` // seconds
-	For     string   `json:"for"`     // started, terminated; of an array also allTerminated
-	Jobs    []string `json:"jobs"`    // of a session: one of these
-	Array   string   `json:"array"`   // or one of this array's
+	For     string   `json:"for"`     // started or terminated; for an array also allTerminated
+	Jobs    []string `json:"jobs"`    // for a session: wait for one of these
+	Array   string   `json:"array"`   // or for one of this array's
 }
 
 const maxAwaitedJobs = 1000
 
-// readWait reads and validates the body of a wait call. allowJobList allows a session's wait for
-// several jobs, allowAll an array's for all of its jobs. It returns the timeout too.
+// readWait reads and validates the body of a wait call, and returns the timeout too. allowJobList allows
+// a list of jobs or an array, as in the wait of a session. allowAll allows allTerminated, as in the wait
+// of an array.
 func readWait(call *apiCall, allowJobList, allowAll bool) (waitRequest, time.Duration, *drmaa.Error) {
 	in := waitRequest{For: "terminated"}
 	e := decodeBody(call.Call, &in)
 	switch {
 	case e != nil:
 	case in.For != "terminated" && in.For != "started" && (!allowAll || in.For != "allTerminated"):
-		e = drmaa.InvalidArgumentError("for", "%q is nothing to wait for here", in.For)
+		e = drmaa.InvalidArgumentError("for", "%q is not a condition that this call can wait for", in.For)
 	case !(in.Timeout >= 0) || in.Timeout > maxWait.Seconds():
-		e = drmaa.InvalidArgumentError("timeout", "not from 0 to %v seconds", maxWait.Seconds())
+		e = drmaa.InvalidArgumentError("timeout", "%v is not from 0 to %v seconds", in.Timeout, maxWait.Seconds())
 	case !allowJobList && (in.Jobs != nil || in.Array != ""):
-		e = drmaa.InvalidArgumentError("jobs", "of a session's wait alone")
+		e = drmaa.InvalidArgumentError("jobs", "jobs and array are allowed only in the wait of a session")
 	case len(in.Jobs) > maxAwaitedJobs:
-		e = drmaa.InvalidArgumentError("jobs", "over %d", maxAwaitedJobs)
+		e = drmaa.InvalidArgumentError("jobs", "has %d entries; the maximum is %d", len(in.Jobs), maxAwaitedJobs)
 	case in.Jobs != nil && in.Array != "":
-		e = drmaa.InvalidArgumentError("array", "jobs are given too")
+		e = drmaa.InvalidArgumentError("array", "must not be combined with jobs")
 	case in.Jobs != nil && len(in.Jobs) == 0:
-		e = drmaa.InvalidArgumentError("jobs", "empty")
+		e = drmaa.InvalidArgumentError("jobs", "is empty")
 	}
 	return in, time.Duration(in.Timeout * float64(time.Second)), e
 }
 
-// wait is waitStarted and waitTerminated of a job.
-func (f *Front) wait(call *apiCall) {
+// waitJob is waitStarted and waitTerminated of a job.
+func (f *Front) waitJob(call *apiCall) {
 	in, timeout, e := readWait(call, false, false)
 	if e != nil {
 		replyError(call, e)
@@ -132,17 +133,16 @@
 			replyError(call, e)
 			return
 		}
-		call.OnClientGone(f.jobs.Wait([]*jobs.Job{j}, in.For == "started", timeout, f.show(call, 200)))
+		call.OnClientGone(f.jobs.Wait([]*jobs.Job{j}, in.For == "started", timeout, f.jobReplier(call, 200)))
 	})
 }
 
-// waitAny is waitAnyStarted and waitAnyTerminated: over a list of jobs, an
-// array or all of the session.
+// waitAny is waitAnyStarted and waitAnyTerminated, for a list of jobs, an array or the whole session.
 func (f *Front) waitAny(call *apiCall) {
 	in, timeout, e := readWait(call, true, false)
-	s, fault := f.jobs.Session(call.tenant, call.path[1])
+	s, sessionErr := f.jobs.Session(call.tenant, call.path[1])
 	if e == nil {
-		e = fault
+		e = sessionErr
 	}
 	started := in.For == "started"
 	switch {
@@ -154,7 +154,7 @@
 				replyError(call, e)
 				return
 			}
-			call.OnClientGone(f.jobs.Wait(all, started, timeout, f.show(call, 200)))
+			call.OnClientGone(f.jobs.Wait(all, started, timeout, f.jobReplier(call, 200)))
 		})
 	case in.Array != "":
 		f.jobs.FindArray(call.tenant, call.path[1], in.Array, func(a *jobs.Array, e *drmaa.Error) {
@@ -162,10 +162,10 @@
 				replyError(call, e)
 				return
 			}
-			call.OnClientGone(f.jobs.WaitArray(a, started, false, timeout, f.show(call, 200)))
+			call.OnClientGone(f.jobs.WaitArray(a, started, false, timeout, f.jobReplier(call, 200)))
 		})
 	default:
-		call.OnClientGone(f.jobs.WaitSession(s, started, timeout, f.show(call, 200)))
+		call.OnClientGone(f.jobs.WaitSession(s, started, timeout, f.jobReplier(call, 200)))
 	}
 }
 
@@ -187,13 +187,13 @@
 				reply(call, 200, f.jobs.ViewArray(a))
 				return
 			}
-			f.show(call, 200)(j, e)
+			f.jobReplier(call, 200)(j, e)
 		}))
 	})
 }
 
-// control performs an action on a job.
-func (f *Front) control(call *apiCall) {
+// controlJob performs an action on a job.
+func (f *Front) controlJob(call *apiCall) {
 	action, e := readAction(call)
 	if e != nil {
 		replyError(call, e)
@@ -209,7 +209,7 @@
 				call.Reply(204, "", nil)
 				return
 			}
-			f.show(call, 202)(j, e)
+			f.jobReplier(call, 202)(j, e)
 		})
 	})
 }
