--- a/internal/node/batch/httpapi/admin.go
+++ b/internal/node/batch/httpapi/admin.go
@@ -19,15 +19,15 @@
 // Admin serves the administration API of the batch API: tenants, their quotas and tokens, and the jobs
 // of all tenants. It has its own address and token.
 type Admin struct {
-	front     *Front
+	handler   *Front
 	store     jobs.StoreExecutor
 	tokenHash string
 	creating  map[string]bool // names of tenants whose creation is being stored
 }
 
 // NewAdmin returns the administration API. tokenHash is the TokenHash of its token.
-func NewAdmin(f *Front, store jobs.StoreExecutor, tokenHash string) *Admin {
-	return &Admin{front: f, store: store, tokenHash: tokenHash, creating: map[string]bool{}}
+func NewAdmin(handler *Front, store jobs.StoreExecutor, tokenHash string) *Admin {
+	return &Admin{handler: handler, store: store, tokenHash: tokenHash, creating: map[string]bool{}}
 }
 
 // SetTokenHash replaces the token by the one with this TokenHash.
@@ -62,13 +62,13 @@
 	case len(parts) == 1 && parts[0] == "jobs" && method == "GET":
 		a.listJobs(call, "", query)
 	case len(parts) == 1 && parts[0] == "queue" && method == "GET":
-		reply(call, 200, a.front.jobs.Counts())
+		reply(call, 200, a.handler.jobs.Counts())
 	case len(parts) == 1 && parts[0] == "undecided" && method == "GET":
 		a.listUndecided(call, query)
 	case len(parts) == 3 && parts[0] == "jobs" && parts[2] == "settle" && method == "POST":
 		a.settleJob(call, parts[1])
 	case len(parts) == 3 && parts[0] == "jobs" && parts[2] == "terminate" && method == "POST":
-		a.front.jobReplier(call, 202)(a.front.jobs.TerminateID(parts[1]))
+		a.handler.jobReplier(call, 202)(a.handler.jobs.TerminateID(parts[1]))
 	default:
 		replyError(call, unknownPath)
 	}
@@ -109,7 +109,7 @@
 // listTenants responds with all tenants.
 func (a *Admin) listTenants(call *protocol.Call) {
 	out := []tenantView{}
-	for _, t := range a.front.jobs.Tenants() {
+	for _, t := range a.handler.jobs.Tenants() {
 		out = append(out, tenantView{Tenant: t.Tenant, Unfinished: t.Unfinished()})
 	}
 	reply(call, 200, struct {
@@ -121,7 +121,7 @@
 func (a *Admin) storeTenant(call *protocol.Call, t jobs.Tenant, status int, token string) {
 	a.withStore(call, func(ctx context.Context, store jobs.Store) error { return store.PutTenant(ctx, t) }, func() {
 		delete(a.creating, t.Name)
-		reply(call, status, tenantView{Tenant: t, Unfinished: a.front.jobs.PutTenant(t).Unfinished(), Token: token})
+		reply(call, status, tenantView{Tenant: t, Unfinished: a.handler.jobs.PutTenant(t).Unfinished(), Token: token})
 	}, func() { delete(a.creating, t.Name) })
 }
 
@@ -137,7 +137,7 @@
 	case e != nil:
 	case in.Quota < 0 || in.Quota > maxQuota:
 		e = drmaa.InvalidArgumentError("maxUnfinishedJobs", "%d is not from 0 to %d", in.Quota, maxQuota)
-	case a.front.jobs.Tenant(in.Name) != nil || a.creating[in.Name]:
+	case a.handler.jobs.Tenant(in.Name) != nil || a.creating[in.Name]:
 		e = drmaa.InvalidStateError("the tenant exists already")
 	}
 	if e != nil {
@@ -152,7 +152,7 @@
 
 // changeQuota changes a tenant's quota.
 func (a *Admin) changeQuota(call *protocol.Call, name string) {
-	t := a.front.jobs.Tenant(name)
+	t := a.handler.jobs.Tenant(name)
 	if t == nil {
 		replyError(call, unknownTenant)
 		return
@@ -171,7 +171,7 @@
 
 // rotateToken replaces a tenant's token.
 func (a *Admin) rotateToken(call *protocol.Call, name string) {
-	t := a.front.jobs.Tenant(name)
+	t := a.handler.jobs.Tenant(name)
 	if t == nil {
 		replyError(call, unknownTenant)
 		return
@@ -184,7 +184,7 @@
 // disableTenant disables a tenant. The jobs that it has submitted still run to their end. Its name
 // stays reserved, because a new tenant of that name would see the old one's jobs.
 func (a *Admin) disableTenant(call *protocol.Call, name string) {
-	t := a.front.jobs.Tenant(name)
+	t := a.handler.jobs.Tenant(name)
 	if t == nil {
 		replyError(call, unknownTenant)
 		return
@@ -192,14 +192,14 @@
 	in := t.Tenant
 	in.TokenHash, in.Quota = "none: "+name, 0
 	a.withStore(call, func(ctx context.Context, store jobs.Store) error { return store.PutTenant(ctx, in) }, func() {
-		a.front.jobs.PutTenant(in)
+		a.handler.jobs.PutTenant(in)
 		call.Reply(204, "", nil)
 	}, func() {})
 }
 
 // listJobs responds with one page of the jobs of a tenant, or of all tenants if tenant is empty.
 func (a *Admin) listJobs(call *protocol.Call, tenant, query string) {
-	if tenant != "" && a.front.jobs.Tenant(tenant) == nil {
+	if tenant != "" && a.handler.jobs.Tenant(tenant) == nil {
 		replyError(call, unknownTenant)
 		return
 	}
@@ -208,7 +208,7 @@
 		replyError(call, e)
 		return
 	}
-	a.front.jobs.List(tenant, "", filter, func(p *drmaa.Page, e *drmaa.Error) {
+	a.handler.jobs.List(tenant, "", filter, func(p *drmaa.Page, e *drmaa.Error) {
 		if e != nil {
 			replyError(call, e)
 			return
@@ -227,7 +227,7 @@
 		replyError(call, e)
 		return
 	}
-	a.front.jobs.Undecided(f.Before, f.Limit, func(p *drmaa.Page, e *drmaa.Error) {
+	a.handler.jobs.Undecided(f.Before, f.Limit, func(p *drmaa.Page, e *drmaa.Error) {
 		if e != nil {
 			replyError(call, e)
 			return
@@ -256,7 +256,7 @@
 		replyError(call, e)
 		return
 	}
-	a.front.jobs.Settle(id, *in.Ran, in.Reason, func(e *drmaa.Error) {
+	a.handler.jobs.Settle(id, *in.Ran, in.Reason, func(e *drmaa.Error) {
 		if e != nil {
 			replyError(call, e)
 			return
--- a/internal/node/batch/httpapi/binding.go
+++ b/internal/node/batch/httpapi/binding.go
@@ -57,12 +57,12 @@
 }
 
 // Serve serves one call of the batch API.
-func (f *Front) Serve(in *protocol.Call) {
+func (h *Front) Serve(in *protocol.Call) {
 	call := &apiCall{Call: in, method: string(in.Method)}
 	// Tokens are looked up by their hashes, so that response times reveal nothing about a valid token.
 	if token, ok := bearerToken(in); ok {
 		call.hash = TokenHash(token)
-		call.tenant = f.jobs.ByToken(call.hash)
+		call.tenant = h.jobs.ByToken(call.hash)
 	}
 	if call.tenant == nil {
 		replyError(call, invalidToken)
@@ -78,7 +78,7 @@
 		replyError(call, unknownPath)
 		return
 	}
-	serve(f, call)
+	serve(h, call)
 }
 
 // routes maps method and path to the handler. A '*' stands for the name of a session or the ID of a job
@@ -121,21 +121,21 @@
 }
 
 // listQueues responds with the job classes.
-func (f *Front) listQueues(call *apiCall) {
+func (h *Front) listQueues(call *apiCall) {
 	reply(call, 200, struct {
 		Queues []drmaa.Queue `json:"queues"`
-	}{f.jobs.Queues(call.tenant)})
+	}{h.jobs.Queues(call.tenant)})
 }
 
 // listMachines responds with the prep workers.
-func (f *Front) listMachines(call *apiCall) {
+func (h *Front) listMachines(call *apiCall) {
 	reply(call, 200, struct {
 		Machines []drmaa.Machine `json:"machines"`
-	}{f.jobs.Machines(call.tenant)})
+	}{h.jobs.Machines(call.tenant)})
 }
 
 // rejectReservations rejects all calls on advance reservations.
-func (f *Front) rejectReservations(call *apiCall) {
+func (h *Front) rejectReservations(call *apiCall) {
 	replyError(call, drmaa.UnsupportedOperationError("there are no advance reservations"))
 }
 
@@ -232,15 +232,15 @@
 }
 
 // getManager responds with the attributes of the service and the results of supports().
-func (f *Front) getManager(call *apiCall) {
-	reply(call, 200, drmaa.Manager{DrmsName: "ospreybend", DrmsVersion: f.version, DrmaaName: "ospreybend HTTP binding",
-		DrmaaVersion: "2.2", Categories: slices.Sorted(maps.Keys(f.jobs.Classes())), Supports: drmaa.Supports(), UnsupportedAttributes: drmaa.UnsupportedAttributes,
+func (h *Front) getManager(call *apiCall) {
+	reply(call, 200, drmaa.Manager{DrmsName: "ospreybend", DrmsVersion: h.version, DrmaaName: "ospreybend HTTP binding",
+		DrmaaVersion: "2.2", Categories: slices.Sorted(maps.Keys(h.jobs.Classes())), Supports: drmaa.Supports(), UnsupportedAttributes: drmaa.UnsupportedAttributes,
 		MaxBulkJobs: drmaa.MaxBulkJobs})
 }
 
 // listSessions responds with the tenant's sessions.
-func (f *Front) listSessions(call *apiCall) {
-	all := f.jobs.Sessions(call.tenant)
+func (h *Front) listSessions(call *apiCall) {
+	all := h.jobs.Sessions(call.tenant)
 	names := make([]string, len(all))
 	for i, s := range all {
 		names[i] = s.Name
@@ -253,7 +253,7 @@
 
 // createSession is createJobSession and openJobSession. Without a mode it opens the session and creates
 // it if it does not exist.
-func (f *Front) createSession(call *apiCall) {
+func (h *Front) createSession(call *apiCall) {
 	var in struct {
 		Name string `json:"name"`
 		Mode string `json:"mode"`
@@ -270,11 +270,11 @@
 		replyError(call, e)
 		return
 	}
-	f.jobs.SetSession(call.tenant, in.Name, jobs.SessionOpen, requirement, f.sessionReplier(call, 201))
+	h.jobs.SetSession(call.tenant, in.Name, jobs.SessionOpen, requirement, h.sessionReplier(call, 201))
 }
 
 // sessionReplier returns a callback that responds with a session, or without a body if status is 204.
-func (f *Front) sessionReplier(call *apiCall, status int) func(*jobs.Session, *drmaa.Error) {
+func (h *Front) sessionReplier(call *apiCall, status int) func(*jobs.Session, *drmaa.Error) {
 	return func(s *jobs.Session, e *drmaa.Error) {
 		switch {
 		case e != nil:
@@ -288,8 +288,8 @@
 }
 
 // getSession responds with a session in any state.
-func (f *Front) getSession(call *apiCall) {
-	for _, s := range f.jobs.Sessions(call.tenant) {
+func (h *Front) getSession(call *apiCall) {
+	for _, s := range h.jobs.Sessions(call.tenant) {
 		if s.Name == call.path[1] {
 			reply(call, 200, s)
 			return
@@ -299,22 +299,22 @@
 }
 
 // closeSession is closeJobSession.
-func (f *Front) closeSession(call *apiCall) {
-	f.jobs.SetSession(call.tenant, call.path[1], jobs.SessionClosed, "exist", f.sessionReplier(call, 204))
+func (h *Front) closeSession(call *apiCall) {
+	h.jobs.SetSession(call.tenant, call.path[1], jobs.SessionClosed, "exist", h.sessionReplier(call, 204))
 }
 
 // controlSession opens, closes or destroys a session.
-func (f *Front) controlSession(call *apiCall) {
+func (h *Front) controlSession(call *apiCall) {
 	action, e := readAction(call)
 	switch {
 	case e != nil:
 		replyError(call, e)
 	case action == "open":
-		f.jobs.SetSession(call.tenant, call.path[1], jobs.SessionOpen, "exist", f.sessionReplier(call, 200))
+		h.jobs.SetSession(call.tenant, call.path[1], jobs.SessionOpen, "exist", h.sessionReplier(call, 200))
 	case action == "close":
-		f.jobs.SetSession(call.tenant, call.path[1], jobs.SessionClosed, "exist", f.sessionReplier(call, 200))
+		h.jobs.SetSession(call.tenant, call.path[1], jobs.SessionClosed, "exist", h.sessionReplier(call, 200))
 	case action == "destroy":
-		f.jobs.DestroySession(call.tenant, call.path[1], func(e *drmaa.Error) {
+		h.jobs.DestroySession(call.tenant, call.path[1], func(e *drmaa.Error) {
 			if e != nil {
 				replyError(call, e)
 				return
--- a/internal/node/batch/httpapi/binding_test.go
+++ b/internal/node/batch/httpapi/binding_test.go
@@ -38,7 +38,7 @@
 	`c keep id "jobId":"`, "w accept workers", `w expect POST /buchen/teil%201 HTTP/1.1\r\n`, `w expect \r\n\r\norder`)
 
 // A job goes through QUEUED and RUNNING to DONE, and its result is in the wait and in the list.
-func TestFront_submitToResult(t *testing.T) {
+func TestHandler_submitToResult(t *testing.T) {
 	f := newFixture(t, "")
 	f.Play(scriptOf(submitAndDispatch,
 		"c "+getJob, `c expect "jobState":"QUEUED"`, `c expect "x_mayHaveRun":true`,
@@ -49,7 +49,7 @@
 
 // A booking submitted twice with the same client key runs once, and both callers get the same job.
 // Different content with that key is an error.
-func TestFront_submitTwiceUnderOneKey(t *testing.T) {
+func TestHandler_submitTwiceUnderOneKey(t *testing.T) {
 	f := newFixture(t, "")
 	f.Play(scriptOf("a dial batch", "b dial batch", "a "+submit("anna", booking), "b "+submit("anna", booking),
 		`a keep id "jobId":"`, `b expect "jobId":"{id}"`,
@@ -66,7 +66,7 @@
 }
 
 // A client key stays in use after its job is no longer held in memory.
-func TestFront_submitAgainAfterTheEnd(t *testing.T) {
+func TestHandler_submitAgainAfterTheEnd(t *testing.T) {
 	f := newFixtureWith(t, "", 2, 0)
 	f.Play(scriptOf(submitAndDispatch, "w send {stream}{done}", "c "+waitTerminated, `c expect "jobState":"DONE"`))
 	f.Play(scriptOf("c "+submit("anna", booking), `c expect "jobId":"{id}"`, `c expect "result":"fine"`,
@@ -79,7 +79,7 @@
 
 // A job is terminated while it starts, and its start and its result arrive afterwards. The job has one
 // final outcome, and it does not change.
-func TestFront_terminateWhileStarting(t *testing.T) {
+func TestHandler_terminateWhileStarting(t *testing.T) {
 	f := newFixture(t, "")
 	f.Play(scriptOf(submitAndDispatch, "c "+terminate, "c expect HTTP/1.1 202", "w send {stream}{started}{done}",
 		"c "+waitTerminated, `c expect "jobState":"FAILED"`, `c expect "jobSubState":"terminated"`, `c expect "x_mayHaveRun":true`,
@@ -92,7 +92,7 @@
 }
 
 // A job that is terminated before it was sent never runs.
-func TestFront_terminateBeforeRecorded(t *testing.T) {
+func TestHandler_terminateBeforeRecorded(t *testing.T) {
 	f := newFixture(t, "")
 	f.Loop.Call(func() {
 		m := f.manager
@@ -117,7 +117,7 @@
 
 // A worker fails while it runs a job. The job keeps its state until the failure is known; then it has
 // failed and may have run. A non-idempotent job is not run again.
-func TestFront_workerVanishes(t *testing.T) {
+func TestHandler_workerFails(t *testing.T) {
 	f := newFixture(t, "")
 	f.Play(scriptOf(submitAndDispatch, "c "+waitStarted, "w send {stream}{started}", "c expect RUNNING", "wait 1s",
 		"c "+getJob, "c expect RUNNING", "c "+waitTerminated, "w close",
@@ -133,13 +133,13 @@
 }
 
 // A job whose worker never responds fails at its deadline.
-func TestFront_deadline(t *testing.T) {
+func TestHandler_deadline(t *testing.T) {
 	f := newFixture(t, "")
 	f.Play(scriptOf(submitAndDispatch, "c "+waitTerminated, "wait 4s", "c expect FAILED", `c expect "x_mayHaveRun":true`, "w closed"))
 }
 
 // The timeout of a wait ends the wait only: the job continues.
-func TestFront_waitTimesOut(t *testing.T) {
+func TestHandler_waitTimesOut(t *testing.T) {
 	f := newFixture(t, "")
 	f.Play(scriptOf(submitAndDispatch, "c "+request("anna", "POST", jobsPath+"/{id}/wait", `{"timeout":0.5}`)))
 	f.WaitUntil(func() bool { return f.manager.Counts().Waits > 0 })
@@ -149,7 +149,7 @@
 
 // No prep worker accepts the job, so the core rejects it. The job is retried at the time that the core
 // advises, until its deadline, and ends as one that never ran.
-func TestFront_rejectedIsRetriedUntilDeadline(t *testing.T) {
+func TestHandler_rejectedIsRetriedUntilDeadline(t *testing.T) {
 	f := newFixture(t, "")
 	f.Play(scriptOf("c dial batch", "c "+submit("anna", strings.Replace(booking, "{", `{"deadline":6,`, 1)), `c keep id "jobId":"`))
 	for i := range 2 {
@@ -164,7 +164,7 @@
 }
 
 // Invalid and unauthorized calls are rejected with the documented status and error.
-func TestFront_rejectedCalls(t *testing.T) {
+func TestHandler_rejectedCalls(t *testing.T) {
 	f := newFixture(t, "")
 	f.Play("c dial batch")
 	for _, c := range [][3]string{
@@ -194,7 +194,7 @@
 
 // After a restart a non-idempotent job that may have run has failed. Idempotent jobs, and jobs that were
 // never sent, run.
-func TestFront_restart(t *testing.T) {
+func TestHandler_restart(t *testing.T) {
 	f := newFixture(t, "")
 	f.Play(scriptOf(submitAndDispatch, "c "+submit("anna", `{"remoteCommand":"pruefen","deadline":60,"x_clientKey":"k2"}`), `c keep id2 "jobId":"`))
 	ctx := context.Background()
@@ -264,7 +264,7 @@
 
 // The same bulk submitted at the same time over two connections creates one array, and each of its jobs
 // runs once.
-func TestFront_sameBulkTwiceAtOnce(t *testing.T) {
+func TestHandler_sameBulkTwiceAtOnce(t *testing.T) {
 	f := newFixture(t, "")
 	f.Play(scriptOf("a dial batch", "b dial batch", "a "+request("anna", "POST", arraysPath, bulk), "b "+request("anna", "POST", arraysPath, bulk),
 		"a expect HTTP/1.1 202", `a keep id "jobArrayId":"`, "b expect HTTP/1.1 202", `b expect "jobArrayId":"{id}"`,
@@ -278,7 +278,7 @@
 }
 
 // The wait of a client that disconnects is removed, and its job can be queried later.
-func TestFront_clientVanishesInAWait(t *testing.T) {
+func TestHandler_clientDisconnectsDuringWait(t *testing.T) {
 	f := newFixture(t, "")
 	f.Play(scriptOf(submitAndDispatch, "d dial batch", "d "+waitTerminated))
 	f.WaitUntil(func() bool { return f.manager.Counts().Waits == 1 })
@@ -303,7 +303,7 @@
 }
 
 // A job submitted on hold is released, runs, ends and is reaped, and a stream has each of its events.
-func TestFront_holdAndEventStream(t *testing.T) {
+func TestHandler_holdAndEventStream(t *testing.T) {
 	f := newFixture(t, "")
 	control := func(action string) string {
 		return "c " + request("anna", "POST", jobsPath+"/{id}/control", `{"action":"`+action+`"}`)
@@ -321,7 +321,7 @@
 // A client stops reading its connection. Once the socket buffers are full, nothing more is written, and
 // events beyond the bound of the tenant's stream are dropped. When the client reads again, it gets the
 // number of events missed. Each event is either received or counted as missed.
-func TestFront_events_slowReaderSeesMissedCount(t *testing.T) {
+func TestHandler_events_slowReaderSeesMissedCount(t *testing.T) {
 	f := newFixtureWith(t, "", 1_000_000, 10)
 	conn, err := net.Dial("tcp", f.batchAddress)
 	must(t, err)
@@ -369,7 +369,7 @@
 }
 
 // An event stream ends when the token with which it was opened is revoked.
-func TestFront_events_streamEndsWithTheToken(t *testing.T) {
+func TestHandler_events_streamEndsWhenTokenIsRevoked(t *testing.T) {
 	f := newFixture(t, "")
 	f.Play(scriptOf("e dial batch", "e "+request("anna", "GET", "/drmaa/v2/sessions/s/events?stream=1", ""), `e expect "events":[]`,
 		"a dial admin", "a "+request(adminToken, "DELETE", "/admin/v1/tenants/anna", ""), "a expect HTTP/1.1 204",
@@ -377,7 +377,7 @@
 }
 
 // docs/BATCH.md names each attribute, capability and state that the API can return.
-func TestFront_answersAreDocumented(t *testing.T) {
+func TestHandler_answersAreDocumented(t *testing.T) {
 	page, err := os.ReadFile("../../../../docs/BATCH.md")
 	must(t, err)
 	var names []string
--- a/internal/node/batch/httpapi/events.go
+++ b/internal/node/batch/httpapi/events.go
@@ -20,8 +20,8 @@
 // readEvents responds with the events after a cursor: at once if there are any, otherwise as soon as there
 // is one or at the timeout. With stream=1 it responds with a stream that has a line for each batch of
 // events.
-func (f *Front) readEvents(call *apiCall) {
-	if _, e := f.jobs.Session(call.tenant, call.path[1]); e != nil {
+func (h *Front) readEvents(call *apiCall) {
+	if _, e := h.jobs.Session(call.tenant, call.path[1]); e != nil {
 		replyError(call, e)
 		return
 	}
@@ -30,7 +30,7 @@
 		replyError(call, drmaa.InvalidArgumentError("query", "%v", err))
 		return
 	}
-	r := &eventReader{front: f, call: call, cursor: values.Get("cursor"), limit: maxEvents}
+	r := &eventReader{handler: h, call: call, cursor: values.Get("cursor"), limit: maxEvents}
 	for name := range values {
 		v := values.Get(name)
 		n, err := strconv.ParseFloat(v, 64)
@@ -60,7 +60,7 @@
 // eventReader is a client that reads events. It holds a cursor but buffers no events: those that its
 // connection cannot take yet stay in the tenant's bounded stream.
 type eventReader struct {
-	front        *Front
+	handler      *Front
 	call         *apiCall
 	cursor       string
 	limit        int
@@ -74,8 +74,8 @@
 
 // start responds at once, or starts a wait or a stream.
 func (r *eventReader) start() {
-	f := r.front
-	first, e := f.jobs.Events(r.call.tenant, r.call.path[1], r.cursor, r.limit)
+	h := r.handler
+	first, e := h.jobs.Events(r.call.tenant, r.call.path[1], r.cursor, r.limit)
 	if e != nil {
 		replyError(r.call, e)
 		return
@@ -84,8 +84,8 @@
 		reply(r.call, 200, first)
 		return
 	}
-	r.nextLineAt = f.clock.Now() + r.timeout
-	r.cancelFollow = f.jobs.Follow(r.call.tenant, func() { r.wakeAt(f.clock.Now()) })
+	r.nextLineAt = h.clock.Now() + r.timeout
+	r.cancelFollow = h.jobs.Follow(r.call.tenant, func() { r.wakeAt(h.clock.Now()) })
 	r.call.OnClientGone(r.stop)
 	if !r.stream {
 		r.cursor = first.Cursor // the current position, if the client gave no cursor
@@ -105,7 +105,7 @@
 func (r *eventReader) stop() {
 	r.stopped = true
 	r.cancelFollow()
-	r.front.timers.Cancel(r.timer)
+	r.handler.timers.Cancel(r.timer)
 	r.timer = nil
 }
 
@@ -114,8 +114,8 @@
 	if r.stopped || r.timer != nil && r.timer.At() <= at {
 		return
 	}
-	r.front.timers.Cancel(r.timer)
-	r.timer = r.front.timers.Add(at, func() {
+	r.handler.timers.Cancel(r.timer)
+	r.timer = r.handler.timers.Add(at, func() {
 		r.timer = nil
 		r.poll()
 	})
@@ -123,9 +123,9 @@
 
 // poll sends the events since the cursor, or ends the wait or the stream.
 func (r *eventReader) poll() {
-	f, now := r.front, r.front.clock.Now()
-	ended := f.jobs.Stopping() || f.jobs.ByToken(r.call.hash) != r.call.tenant
-	got, e := f.jobs.Events(r.call.tenant, r.call.path[1], r.cursor, r.limit)
+	h, now := r.handler, r.handler.clock.Now()
+	ended := h.jobs.Stopping() || h.jobs.ByToken(r.call.hash) != r.call.tenant
+	got, e := h.jobs.Events(r.call.tenant, r.call.path[1], r.cursor, r.limit)
 	switch {
 	case e != nil || !r.stream && (ended || len(got.Events) > 0 || got.Missed != 0 || now >= r.nextLineAt):
 		r.stop()
@@ -153,7 +153,7 @@
 
 // writeLine sends a batch of events as one line of a stream.
 func (r *eventReader) writeLine(got *drmaa.Events) {
-	r.cursor, r.nextLineAt = got.Cursor, r.front.clock.Now()+streamHeartbeatInterval
+	r.cursor, r.nextLineAt = got.Cursor, r.handler.clock.Now()+streamHeartbeatInterval
 	line, err := json.Marshal(got)
 	if err != nil {
 		panic(err)
--- a/internal/node/batch/httpapi/jobs.go
+++ b/internal/node/batch/httpapi/jobs.go
@@ -8,67 +8,67 @@
 )
 
 // jobReplier returns a callback that responds with a job or an error.
-func (f *Front) jobReplier(call responder, status int) func(*jobs.Job, *drmaa.Error) {
+func (h *Front) jobReplier(call responder, status int) func(*jobs.Job, *drmaa.Error) {
 	return func(j *jobs.Job, e *drmaa.Error) {
 		if e != nil {
 			replyError(call, e)
 			return
 		}
-		reply(call, status, f.jobs.View(j))
+		reply(call, status, h.jobs.View(j))
 	}
 }
 
 // arrayReplier returns a callback that responds with a job array or an error.
-func (f *Front) arrayReplier(call responder, status int) func(*jobs.Array, *drmaa.Error) {
+func (h *Front) arrayReplier(call responder, status int) func(*jobs.Array, *drmaa.Error) {
 	return func(a *jobs.Array, e *drmaa.Error) {
 		if e != nil {
 			replyError(call, e)
 			return
 		}
-		reply(call, status, f.jobs.ViewArray(a))
+		reply(call, status, h.jobs.ViewArray(a))
 	}
 }
 
 // submit is runJob.
-func (f *Front) submit(call *apiCall) {
-	template, e := drmaa.ReadTemplate(call.Body, f.jobs.Classes(), f.jobs.Now())
+func (h *Front) submit(call *apiCall) {
+	template, e := drmaa.ReadTemplate(call.Body, h.jobs.Classes(), h.jobs.Now())
 	if e != nil {
 		replyError(call, e)
 		return
 	}
-	f.jobs.Submit(call.tenant, call.path[1], template, f.jobReplier(call, 202))
+	h.jobs.Submit(call.tenant, call.path[1], template, h.jobReplier(call, 202))
 }
 
 // submitBulk is runBulkJobs.
-func (f *Front) submitBulk(call *apiCall) {
+func (h *Front) submitBulk(call *apiCall) {
 	var b drmaa.Bulk
 	e := drmaa.Decode(call.Body, &b, "the bulk")
 	if e == nil {
 		e = b.Validate()
 	}
 	if e == nil {
-		e = b.Template.Validate(f.jobs.Classes(), f.jobs.Now())
+		e = b.Template.Validate(h.jobs.Classes(), h.jobs.Now())
 	}
 	if e != nil {
 		replyError(call, e)
 		return
 	}
-	f.jobs.SubmitBulk(call.tenant, call.path[1], &b, f.arrayReplier(call, 202))
+	h.jobs.SubmitBulk(call.tenant, call.path[1], &b, h.arrayReplier(call, 202))
 }
 
 // listJobs responds with one page of a session's jobs, or of all the tenant's jobs.
-func (f *Front) listJobs(call *apiCall) {
+func (h *Front) listJobs(call *apiCall) {
 	filter, e := drmaa.ReadFilter(call.query)
 	session := ""
 	if e == nil && call.path[0] == "sessions" {
 		session = call.path[1]
-		_, e = f.jobs.Session(call.tenant, session)
+		_, e = h.jobs.Session(call.tenant, session)
 	}
 	if e != nil {
 		replyError(call, e)
 		return
 	}
-	f.jobs.List(call.tenant.Name, session, filter, func(p *drmaa.Page, e *drmaa.Error) {
+	h.jobs.List(call.tenant.Name, session, filter, func(p *drmaa.Page, e *drmaa.Error) {
 		if e != nil {
 			replyError(call, e)
 			return
@@ -78,13 +78,13 @@
 }
 
 // getJob responds with a job.
-func (f *Front) getJob(call *apiCall) {
-	f.jobs.Find(call.tenant, call.path[1], call.path[3], f.jobReplier(call, 200))
+func (h *Front) getJob(call *apiCall) {
+	h.jobs.Find(call.tenant, call.path[1], call.path[3], h.jobReplier(call, 200))
 }
 
 // getArray responds with a job array.
-func (f *Front) getArray(call *apiCall) {
-	f.jobs.FindArray(call.tenant, call.path[1], call.path[3], f.arrayReplier(call, 200))
+func (h *Front) getArray(call *apiCall) {
+	h.jobs.FindArray(call.tenant, call.path[1], call.path[3], h.arrayReplier(call, 200))
 }
 
 // waitRequest is the body of a wait call.
@@ -122,25 +122,25 @@
 }
 
 // waitJob is waitStarted and waitTerminated of a job.
-func (f *Front) waitJob(call *apiCall) {
+func (h *Front) waitJob(call *apiCall) {
 	in, timeout, e := readWait(call, false, false)
 	if e != nil {
 		replyError(call, e)
 		return
 	}
-	f.jobs.Find(call.tenant, call.path[1], call.path[3], func(j *jobs.Job, e *drmaa.Error) {
+	h.jobs.Find(call.tenant, call.path[1], call.path[3], func(j *jobs.Job, e *drmaa.Error) {
 		if e != nil {
 			replyError(call, e)
 			return
 		}
-		call.OnClientGone(f.jobs.Wait([]*jobs.Job{j}, in.For == "started", timeout, f.jobReplier(call, 200)))
+		call.OnClientGone(h.jobs.Wait([]*jobs.Job{j}, in.For == "started", timeout, h.jobReplier(call, 200)))
 	})
 }
 
 // waitAny is waitAnyStarted and waitAnyTerminated, for a list of jobs, an array or the whole session.
-func (f *Front) waitAny(call *apiCall) {
+func (h *Front) waitAny(call *apiCall) {
 	in, timeout, e := readWait(call, true, false)
-	s, sessionErr := f.jobs.Session(call.tenant, call.path[1])
+	s, sessionErr := h.jobs.Session(call.tenant, call.path[1])
 	if e == nil {
 		e = sessionErr
 	}
@@ -149,84 +149,84 @@
 	case e != nil:
 		replyError(call, e)
 	case in.Jobs != nil:
-		f.jobs.FindAll(call.tenant, call.path[1], in.Jobs, func(all []*jobs.Job, e *drmaa.Error) {
+		h.jobs.FindAll(call.tenant, call.path[1], in.Jobs, func(all []*jobs.Job, e *drmaa.Error) {
 			if e != nil {
 				replyError(call, e)
 				return
 			}
-			call.OnClientGone(f.jobs.Wait(all, started, timeout, f.jobReplier(call, 200)))
+			call.OnClientGone(h.jobs.Wait(all, started, timeout, h.jobReplier(call, 200)))
 		})
 	case in.Array != "":
-		f.jobs.FindArray(call.tenant, call.path[1], in.Array, func(a *jobs.Array, e *drmaa.Error) {
+		h.jobs.FindArray(call.tenant, call.path[1], in.Array, func(a *jobs.Array, e *drmaa.Error) {
 			if e != nil {
 				replyError(call, e)
 				return
 			}
-			call.OnClientGone(f.jobs.WaitArray(a, started, false, timeout, f.jobReplier(call, 200)))
+			call.OnClientGone(h.jobs.WaitArray(a, started, false, timeout, h.jobReplier(call, 200)))
 		})
 	default:
-		call.OnClientGone(f.jobs.WaitSession(s, started, timeout, f.jobReplier(call, 200)))
+		call.OnClientGone(h.jobs.WaitSession(s, started, timeout, h.jobReplier(call, 200)))
 	}
 }
 
 // waitArray waits for one of an array's jobs, or for all of them.
-func (f *Front) waitArray(call *apiCall) {
+func (h *Front) waitArray(call *apiCall) {
 	in, timeout, e := readWait(call, false, true)
 	if e != nil {
 		replyError(call, e)
 		return
 	}
-	f.jobs.FindArray(call.tenant, call.path[1], call.path[3], func(a *jobs.Array, e *drmaa.Error) {
+	h.jobs.FindArray(call.tenant, call.path[1], call.path[3], func(a *jobs.Array, e *drmaa.Error) {
 		all := in.For == "allTerminated"
 		if e != nil {
 			replyError(call, e)
 			return
 		}
-		call.OnClientGone(f.jobs.WaitArray(a, in.For == "started", all, timeout, func(j *jobs.Job, e *drmaa.Error) {
+		call.OnClientGone(h.jobs.WaitArray(a, in.For == "started", all, timeout, func(j *jobs.Job, e *drmaa.Error) {
 			if e == nil && all {
-				reply(call, 200, f.jobs.ViewArray(a))
+				reply(call, 200, h.jobs.ViewArray(a))
 				return
 			}
-			f.jobReplier(call, 200)(j, e)
+			h.jobReplier(call, 200)(j, e)
 		}))
 	})
 }
 
 // controlJob performs an action on a job.
-func (f *Front) controlJob(call *apiCall) {
+func (h *Front) controlJob(call *apiCall) {
 	action, e := readAction(call)
 	if e != nil {
 		replyError(call, e)
 		return
 	}
-	f.jobs.Find(call.tenant, call.path[1], call.path[3], func(j *jobs.Job, e *drmaa.Error) {
+	h.jobs.Find(call.tenant, call.path[1], call.path[3], func(j *jobs.Job, e *drmaa.Error) {
 		if e != nil {
 			replyError(call, e)
 			return
 		}
-		f.jobs.Act(j, action, func(e *drmaa.Error) {
+		h.jobs.Act(j, action, func(e *drmaa.Error) {
 			if e == nil && action == jobs.Reap {
 				call.Reply(204, "", nil)
 				return
 			}
-			f.jobReplier(call, 202)(j, e)
+			h.jobReplier(call, 202)(j, e)
 		})
 	})
 }
 
 // controlArray performs an action on the jobs of an array.
-func (f *Front) controlArray(call *apiCall) {
+func (h *Front) controlArray(call *apiCall) {
 	action, e := readAction(call)
 	if e != nil {
 		replyError(call, e)
 		return
 	}
-	f.jobs.FindArray(call.tenant, call.path[1], call.path[3], func(a *jobs.Array, e *drmaa.Error) {
+	h.jobs.FindArray(call.tenant, call.path[1], call.path[3], func(a *jobs.Array, e *drmaa.Error) {
 		if e != nil {
 			replyError(call, e)
 			return
 		}
-		f.jobs.ActOnArray(a, action, func(n *drmaa.Affected, e *drmaa.Error) {
+		h.jobs.ActOnArray(a, action, func(n *drmaa.Affected, e *drmaa.Error) {
 			if e != nil {
 				replyError(call, e)
 				return
