--- a/internal/node/batch/cli/manage.go
+++ b/internal/node/batch/cli/manage.go
@@ -164,9 +164,7 @@
 
 // Run runs the command.
 func (c *TenantCreate) Run(env *Env) error {
-	return c.show(env, func(a *client.Admin) ([]client.Tenant, error) {
-		return single(a.CreateTenant(env.Ctx, c.Name, c.Quota))
-	})
+	return c.show(env, func(a *client.Admin) ([]client.Tenant, error) { return single(a.Create(env.Ctx, c.Name, c.Quota)) })
 }
 
 // TenantQuota changes a quota.
@@ -189,7 +187,7 @@
 
 // Run runs the command.
 func (c *TenantRotate) Run(env *Env) error {
-	return c.show(env, func(a *client.Admin) ([]client.Tenant, error) { return single(a.RotateToken(env.Ctx, c.Name)) })
+	return c.show(env, func(a *client.Admin) ([]client.Tenant, error) { return single(a.Rotate(env.Ctx, c.Name)) })
 }
 
 // TenantRemove removes a tenant.
@@ -201,7 +199,7 @@
 // Run runs the command.
 func (c *TenantRemove) Run(env *Env) error {
 	return c.show(env, func(a *client.Admin) ([]client.Tenant, error) {
-		return []client.Tenant{{Name: c.Name}}, a.DisableTenant(env.Ctx, c.Name)
+		return []client.Tenant{{Name: c.Name}}, a.Remove(env.Ctx, c.Name)
 	})
 }
 
