--- a/drmaa/bulk.go
+++ b/drmaa/bulk.go
@@ -25,7 +25,7 @@
 	const maxIndex = 1 << 30
 	switch {
 	case b.Template == nil:
-		return InvalidArgumentError("jobTemplate", "is missing")
+		return InvalidArgumentError("jobTemplate", "missing")
 	case b.Begin < 1 || b.Begin > maxIndex:
 		return InvalidArgumentError("beginIndex", "%d is not from 1 to %d", b.Begin, maxIndex)
 	case b.End < b.Begin || b.End > maxIndex:
--- a/drmaa/client/client.go
+++ b/drmaa/client/client.go
@@ -141,7 +141,7 @@
 		return nil
 	}
 	if err := json.Unmarshal(text, call.out); err != nil {
-		return fmt.Errorf("decode the response: %w", err)
+		return fmt.Errorf("the response cannot be read: %w", err)
 	}
 	return nil
 }
--- a/drmaa/client/session.go
+++ b/drmaa/client/session.go
@@ -227,7 +227,7 @@
 	for lines.Scan() {
 		var e drmaa.Events
 		if err := json.Unmarshal(lines.Bytes(), &e); err != nil {
-			return true, fmt.Errorf("decode a line of the event stream: %w", err)
+			return true, fmt.Errorf("a line of the event stream cannot be read: %w", err)
 		}
 		*cursor = e.Cursor
 		if (len(e.Events) > 0 || e.Missed != 0) && !handle(&e) {
--- a/drmaa/template.go
+++ b/drmaa/template.go
@@ -162,7 +162,7 @@
 		}
 	}
 	if t.RemoteCommand == "" {
-		return InvalidArgumentError("remoteCommand", "is missing; it names the job class")
+		return InvalidArgumentError("remoteCommand", "missing; it names the job class")
 	}
 	class, ok := classes[t.RemoteCommand]
 	if !ok {
--- a/internal/node/batch/httpapi/admin.go
+++ b/internal/node/batch/httpapi/admin.go
@@ -248,7 +248,7 @@
 	switch {
 	case e != nil:
 	case in.Ran == nil:
-		e = drmaa.InvalidArgumentError("ran", "is missing; it must be true or false")
+		e = drmaa.InvalidArgumentError("ran", "missing; it must be true or false")
 	case in.Reason == "" || len(in.Reason) > maxReasonBytes:
 		e = drmaa.InvalidArgumentError("reason", "has %d bytes; it must have 1 to %d", len(in.Reason), maxReasonBytes)
 	}
--- a/internal/node/batch/httpapi/binding.go
+++ b/internal/node/batch/httpapi/binding.go
@@ -333,7 +333,7 @@
 	}
 	e := decodeBody(call.Call, &in)
 	if e == nil && in.Action == "" {
-		e = drmaa.InvalidArgumentError("action", "is missing")
+		e = drmaa.InvalidArgumentError("action", "missing")
 	}
 	return in.Action, e
 }
--- a/internal/node/batch/httpapi/jobs.go
+++ b/internal/node/batch/httpapi/jobs.go
@@ -116,7 +116,7 @@
 	case in.Jobs != nil && in.Array != "":
 		e = drmaa.InvalidArgumentError("array", "must not be combined with jobs")
 	case in.Jobs != nil && len(in.Jobs) == 0:
-		e = drmaa.InvalidArgumentError("jobs", "is empty")
+		e = drmaa.InvalidArgumentError("jobs", "empty")
 	}
 	return in, time.Duration(in.Timeout * float64(time.Second)), e
 }
