--- a/internal/node/batch/httpapi/jobs.go
+++ b/internal/node/batch/httpapi/jobs.go
@@ -7,68 +7,68 @@
 	"ospreybend/internal/node/batch/jobs"
 )
 
-// show returns a callback that answers with a job.
-func (f *Front) show(call answerer, status int) func(*jobs.Job, *drmaa.Error) {
+// jobReplier returns a callback that responds with a job or an error.
+func (h *Front) jobReplier(call responder, status int) func(*jobs.Job, *drmaa.Error) {
 	return func(j *jobs.Job, e *drmaa.Error) {
 		if e != nil {
 			replyError(call, e)
 			return
 		}
-		reply(call, status, f.jobs.View(j))
+		reply(call, status, h.jobs.View(j))
 	}
 }
 
-// showArray returns a callback that answers with a job array.
-func (f *Front) showArray(call answerer, status int) func(*jobs.Array, *drmaa.Error) {
+// arrayReplier returns a callback that responds with a job array or an error.
+func (h *Front) arrayReplier(call responder, status int) func(*jobs.Array, *drmaa.Error) {
 	return func(a *jobs.Array, e *drmaa.Error) {
 		if e != nil {
 			replyError(call, e)
 			return
 		}
-		reply(call, status, f.jobs.ViewArray(a))
+		reply(call, status, h.jobs.ViewArray(a))
 	}
 }
 
 // submit is runJob.
-func (f *Front) submit(call *apiCall) {
-	template, e := drmaa.ReadTemplate(call.Body, f.jobs.Classes(), f.jobs.Now())
+func (h *Front) submit(call *apiCall) {
+	template, e := drmaa.ReadTemplate(call.Body, h.jobs.Classes(), h.jobs.Now())
 	if e != nil {
 		replyError(call, e)
 		return
 	}
-	f.jobs.Submit(call.tenant, call.path[1], template, f.show(call, 202))
+	h.jobs.Submit(call.tenant, call.path[1], template, h.jobReplier(call, 202))
 }
 
 // submitBulk is runBulkJobs.
-func (f *Front) submitBulk(call *apiCall) {
+func (h *Front) submitBulk(call *apiCall) {
 	var b drmaa.Bulk
 	e := drmaa.Decode(call.Body, &b, "the bulk")
 	if e == nil {
 		e = b.Validate()
 	}
 	if e == nil {
-		e = b.Template.Validate(f.jobs.Classes(), f.jobs.Now())
+		e = b.Template.Validate(h.jobs.Classes(), h.jobs.Now())
 	}
 	if e != nil {
 		replyError(call, e)
 		return
 	}
-	f.jobs.SubmitBulk(call.tenant, call.path[1], &b, f.showArray(call, 202))
+	h.jobs.SubmitBulk(call.tenant, call.path[1], &b, h.arrayReplier(call, 202))
 }
 
-// listJobs answers with one page of a session's jobs, or of all of the tenant's.
-func (f *Front) listJobs(call *apiCall) {
+// listJobs responds with one page of a session's jobs, or of all the tenant's jobs.
+func (h *Front) listJobs(call *apiCall) {
 	filter, e := drmaa.ReadFilter(call.query)
 	session := ""
 	if e == nil && call.path[0] == "sessions" {
 		session = call.path[1]
-		_, e = f.jobs.Session(call.tenant, session)
+		_, e = h.jobs.Session(call.tenant, session)
 	}
 	if e != nil {
 		replyError(call, e)
 		return
 	}
-	f.jobs.List(call.tenant.Name, session, filter, func(p *drmaa.Page, e *drmaa.Error) {
+	h.jobs.List(call.tenant.Name, session, filter, func(p *drmaa.Page, e *drmaa.Error) {
 		if e != nil {
 			replyError(call, e)
 			return
@@ -77,156 +77,156 @@
 	})
 }
 
-// job answers with a job.
-func (f *Front) job(call *apiCall) {
-	f.jobs.Find(call.tenant, call.path[1], call.path[3], f.show(call, 200))
+// getJob responds with a job.
+func (h *Front) getJob(call *apiCall) {
+	h.jobs.Find(call.tenant, call.path[1], call.path[3], h.jobReplier(call, 200))
 }
 
-// array answers with a job array.
-func (f *Front) array(call *apiCall) {
-	f.jobs.FindArray(call.tenant, call.path[1], call.path[3], f.showArray(call, 200))
+// getArray responds with a job array.
+func (h *Front) getArray(call *apiCall) {
+	h.jobs.FindArray(call.tenant, call.path[1], call.path[3], h.arrayReplier(call, 200))
 }
 
 // waitRequest is the body of a wait call.
 type waitRequest struct {
 	Timeout float64  `json:"timeout"` // seconds
-	For     string   `json:"for"`     // started, terminated; of an array also allTerminated
-	Jobs    []string `json:"jobs"`    // of a session: one of these
-	Array   string   `json:"array"`   // or one of this array's
+	For     string   `json:"for"`     // started or terminated; for an array also allTerminated
+	Jobs    []string `json:"jobs"`    // for a session: wait for one of these
+	Array   string   `json:"array"`   // or for one of this array's
 }
 
 const maxAwaitedJobs = 1000
 
-// readWait reads and validates the body of a wait call. allowJobList allows a session's wait for
-// several jobs, allowAll an array's for all of its jobs. It returns the timeout too.
+// readWait reads and validates the body of a wait call, and returns the timeout too. allowJobList allows
+// a list of jobs or an array, as in the wait of a session. allowAll allows allTerminated, as in the wait
+// of an array.
 func readWait(call *apiCall, allowJobList, allowAll bool) (waitRequest, time.Duration, *drmaa.Error) {
 	in := waitRequest{For: "terminated"}
 	e := decodeBody(call.Call, &in)
 	switch {
 	case e != nil:
 	case in.For != "terminated" && in.For != "started" && (!allowAll || in.For != "allTerminated"):
-		e = drmaa.InvalidArgumentError("for", "%q is nothing to wait for here", in.For)
+		e = drmaa.InvalidArgumentError("for", "%q is not a condition that this call can wait for", in.For)
 	case !(in.Timeout >= 0) || in.Timeout > maxWait.Seconds():
-		e = drmaa.InvalidArgumentError("timeout", "not from 0 to %v seconds", maxWait.Seconds())
+		e = drmaa.InvalidArgumentError("timeout", "%v is not from 0 to %v seconds", in.Timeout, maxWait.Seconds())
 	case !allowJobList && (in.Jobs != nil || in.Array != ""):
-		e = drmaa.InvalidArgumentError("jobs", "of a session's wait alone")
+		e = drmaa.InvalidArgumentError("jobs", "jobs and array are allowed only in the wait of a session")
 	case len(in.Jobs) > maxAwaitedJobs:
-		e = drmaa.InvalidArgumentError("jobs", "over %d", maxAwaitedJobs)
+		e = drmaa.InvalidArgumentError("jobs", "has %d entries; the maximum is %d", len(in.Jobs), maxAwaitedJobs)
 	case in.Jobs != nil && in.Array != "":
-		e = drmaa.InvalidArgumentError("array", "jobs are given too")
+		e = drmaa.InvalidArgumentError("array", "must not be combined with jobs")
 	case in.Jobs != nil && len(in.Jobs) == 0:
 		e = drmaa.InvalidArgumentError("jobs", "empty")
 	}
 	return in, time.Duration(in.Timeout * float64(time.Second)), e
 }
 
-// wait is waitStarted and waitTerminated of a job.
-func (f *Front) wait(call *apiCall) {
+// waitJob is waitStarted and waitTerminated of a job.
+func (h *Front) waitJob(call *apiCall) {
 	in, timeout, e := readWait(call, false, false)
 	if e != nil {
 		replyError(call, e)
 		return
 	}
-	f.jobs.Find(call.tenant, call.path[1], call.path[3], func(j *jobs.Job, e *drmaa.Error) {
+	h.jobs.Find(call.tenant, call.path[1], call.path[3], func(j *jobs.Job, e *drmaa.Error) {
 		if e != nil {
 			replyError(call, e)
 			return
 		}
-		call.OnClientGone(f.jobs.Wait([]*jobs.Job{j}, in.For == "started", timeout, f.show(call, 200)))
+		call.OnClientGone(h.jobs.Wait([]*jobs.Job{j}, in.For == "started", timeout, h.jobReplier(call, 200)))
 	})
 }
 
-// waitAny is waitAnyStarted and waitAnyTerminated: over a list of jobs, an
-// array or all of the session.
-func (f *Front) waitAny(call *apiCall) {
+// waitAny is waitAnyStarted and waitAnyTerminated, for a list of jobs, an array or the whole session.
+func (h *Front) waitAny(call *apiCall) {
 	in, timeout, e := readWait(call, true, false)
-	s, fault := f.jobs.Session(call.tenant, call.path[1])
+	s, sessionErr := h.jobs.Session(call.tenant, call.path[1])
 	if e == nil {
-		e = fault
+		e = sessionErr
 	}
 	started := in.For == "started"
 	switch {
 	case e != nil:
 		replyError(call, e)
 	case in.Jobs != nil:
-		f.jobs.FindAll(call.tenant, call.path[1], in.Jobs, func(all []*jobs.Job, e *drmaa.Error) {
+		h.jobs.FindAll(call.tenant, call.path[1], in.Jobs, func(all []*jobs.Job, e *drmaa.Error) {
 			if e != nil {
 				replyError(call, e)
 				return
 			}
-			call.OnClientGone(f.jobs.Wait(all, started, timeout, f.show(call, 200)))
+			call.OnClientGone(h.jobs.Wait(all, started, timeout, h.jobReplier(call, 200)))
 		})
 	case in.Array != "":
-		f.jobs.FindArray(call.tenant, call.path[1], in.Array, func(a *jobs.Array, e *drmaa.Error) {
+		h.jobs.FindArray(call.tenant, call.path[1], in.Array, func(a *jobs.Array, e *drmaa.Error) {
 			if e != nil {
 				replyError(call, e)
 				return
 			}
-			call.OnClientGone(f.jobs.WaitArray(a, started, false, timeout, f.show(call, 200)))
+			call.OnClientGone(h.jobs.WaitArray(a, started, false, timeout, h.jobReplier(call, 200)))
 		})
 	default:
-		call.OnClientGone(f.jobs.WaitSession(s, started, timeout, f.show(call, 200)))
+		call.OnClientGone(h.jobs.WaitSession(s, started, timeout, h.jobReplier(call, 200)))
 	}
 }
 
 // waitArray waits for one of an array's jobs, or for all of them.
-func (f *Front) waitArray(call *apiCall) {
+func (h *Front) waitArray(call *apiCall) {
 	in, timeout, e := readWait(call, false, true)
 	if e != nil {
 		replyError(call, e)
 		return
 	}
-	f.jobs.FindArray(call.tenant, call.path[1], call.path[3], func(a *jobs.Array, e *drmaa.Error) {
+	h.jobs.FindArray(call.tenant, call.path[1], call.path[3], func(a *jobs.Array, e *drmaa.Error) {
 		all := in.For == "allTerminated"
 		if e != nil {
 			replyError(call, e)
 			return
 		}
-		call.OnClientGone(f.jobs.WaitArray(a, in.For == "started", all, timeout, func(j *jobs.Job, e *drmaa.Error) {
+		call.OnClientGone(h.jobs.WaitArray(a, in.For == "started", all, timeout, func(j *jobs.Job, e *drmaa.Error) {
 			if e == nil && all {
-				reply(call, 200, f.jobs.ViewArray(a))
+				reply(call, 200, h.jobs.ViewArray(a))
 				return
 			}
-			f.show(call, 200)(j, e)
+			h.jobReplier(call, 200)(j, e)
 		}))
 	})
 }
 
-// control performs an action on a job.
-func (f *Front) control(call *apiCall) {
+// controlJob performs an action on a job.
+func (h *Front) controlJob(call *apiCall) {
 	action, e := readAction(call)
 	if e != nil {
 		replyError(call, e)
 		return
 	}
-	f.jobs.Find(call.tenant, call.path[1], call.path[3], func(j *jobs.Job, e *drmaa.Error) {
+	h.jobs.Find(call.tenant, call.path[1], call.path[3], func(j *jobs.Job, e *drmaa.Error) {
 		if e != nil {
 			replyError(call, e)
 			return
 		}
-		f.jobs.Act(j, action, func(e *drmaa.Error) {
+		h.jobs.Act(j, action, func(e *drmaa.Error) {
 			if e == nil && action == jobs.Reap {
 				call.Reply(204, "", nil)
 				return
 			}
-			f.show(call, 202)(j, e)
+			h.jobReplier(call, 202)(j, e)
 		})
 	})
 }
 
 // controlArray performs an action on the jobs of an array.
-func (f *Front) controlArray(call *apiCall) {
+func (h *Front) controlArray(call *apiCall) {
 	action, e := readAction(call)
 	if e != nil {
 		replyError(call, e)
 		return
 	}
-	f.jobs.FindArray(call.tenant, call.path[1], call.path[3], func(a *jobs.Array, e *drmaa.Error) {
+	h.jobs.FindArray(call.tenant, call.path[1], call.path[3], func(a *jobs.Array, e *drmaa.Error) {
 		if e != nil {
 			replyError(call, e)
 			return
 		}
-		f.jobs.ActOnArray(a, action, func(n *drmaa.Affected, e *drmaa.Error) {
+		h.jobs.ActOnArray(a, action, func(n *drmaa.Affected, e *drmaa.Error) {
 			if e != nil {
 				replyError(call, e)
 				return
