--- a/cmd/ospreybend/batch.go
+++ b/cmd/ospreybend/batch.go
@@ -20,7 +20,7 @@
 type batchAPI struct {
 	cfg      nodeconfig.Batch
 	jobs     *jobs.Manager
-	admin    *httpapi.Admin // nil if no administration address is configured
+	admin    *httpapi.AdminHandler // nil if no administration address is configured
 	executor *store.Executor
 	servers  []*protocol.Server
 }
@@ -73,10 +73,10 @@
 // the event loop.
 func (b *batchAPI) startServers(node *node) error {
 	cfg := b.cfg
-	api := httpapi.New(b.jobs, node.loop, &node.loop.Timers, version)
+	api := httpapi.NewHandler(b.jobs, node.loop, &node.loop.Timers, version)
 	b.servers = append(b.servers, protocol.NewServer(node.loop, cfg.Listen, cfg.MaxSockets, node.cfg.FrontMaxBufferedBytes, api.Serve))
 	if cfg.AdminListen != "" {
-		b.admin = httpapi.NewAdmin(api, b.jobs.StoreExecutor(), cfg.AdminTokenSHA256)
+		b.admin = httpapi.NewAdminHandler(api, b.jobs.StoreExecutor(), cfg.AdminTokenSHA256)
 		b.servers = append(b.servers, protocol.NewServer(node.loop, cfg.AdminListen, cfg.AdminMaxSockets, node.cfg.FrontMaxBufferedBytes, b.admin.Serve))
 	}
 	for _, server := range b.servers {
--- a/cmd/ospreybend/batch_faults_test.go
+++ b/cmd/ospreybend/batch_faults_test.go
@@ -14,7 +14,7 @@
 
 func newSession(t *testing.T, node *localNode, options ...client.Option) *client.Session {
 	t.Helper()
-	tenant, err := node.admin.Create(t.Context(), "anna", 10_000)
+	tenant, err := node.admin.CreateTenant(t.Context(), "anna", 10_000)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/node/batch/cli/manage.go
+++ b/internal/node/batch/cli/manage.go
@@ -169,7 +169,9 @@
 
 // Run executes the command "tenant create".
 func (c *TenantCreate) Run(env *Env) error {
-	return c.showTenants(env, func(a *client.Admin) ([]client.Tenant, error) { return oneTenant(a.Create(env.Ctx, c.Name, c.Quota)) })
+	return c.showTenants(env, func(a *client.Admin) ([]client.Tenant, error) {
+		return oneTenant(a.CreateTenant(env.Ctx, c.Name, c.Quota))
+	})
 }
 
 // TenantQuota changes the limit on a tenant's unfinished jobs.
@@ -192,7 +194,7 @@
 
 // Run executes the command "tenant rotate".
 func (c *TenantRotate) Run(env *Env) error {
-	return c.showTenants(env, func(a *client.Admin) ([]client.Tenant, error) { return oneTenant(a.Rotate(env.Ctx, c.Name)) })
+	return c.showTenants(env, func(a *client.Admin) ([]client.Tenant, error) { return oneTenant(a.RotateToken(env.Ctx, c.Name)) })
 }
 
 // TenantRemove removes a tenant.
@@ -204,7 +206,7 @@
 // Run executes the command "tenant remove".
 func (c *TenantRemove) Run(env *Env) error {
 	return c.showTenants(env, func(a *client.Admin) ([]client.Tenant, error) {
-		return []client.Tenant{{Name: c.Name}}, a.Remove(env.Ctx, c.Name)
+		return []client.Tenant{{Name: c.Name}}, a.DisableTenant(env.Ctx, c.Name)
 	})
 }
 
