--- a/cmd/ospreybend/batch.go
+++ b/cmd/ospreybend/batch.go
@@ -20,7 +20,7 @@
 type batchFront struct {
 	cfg      nodeconfig.Batch
 	jobs     *jobs.Manager
-	admin    *httpapi.Admin // nil: none
+	admin    *httpapi.AdminHandler // nil: none
 	executor *store.Executor
 	servers  []*protocol.Server
 }
@@ -73,10 +73,10 @@
 // loop.
 func (f *batchFront) startServers(node *node) error {
 	cfg := f.cfg
-	api := httpapi.New(f.jobs, node.loop, &node.loop.Timers, version)
+	api := httpapi.NewHandler(f.jobs, node.loop, &node.loop.Timers, version)
 	f.servers = append(f.servers, protocol.NewServer(node.loop, cfg.Listen, cfg.MaxSockets, node.cfg.FrontMaxBufferedBytes, api.Serve))
 	if cfg.AdminListen != "" {
-		f.admin = httpapi.NewAdmin(api, f.jobs.StoreExecutor(), cfg.AdminTokenSHA256)
+		f.admin = httpapi.NewAdminHandler(api, f.jobs.StoreExecutor(), cfg.AdminTokenSHA256)
 		f.servers = append(f.servers, protocol.NewServer(node.loop, cfg.AdminListen, cfg.AdminMaxSockets, node.cfg.FrontMaxBufferedBytes, f.admin.Serve))
 	}
 	for _, server := range f.servers {
--- a/cmd/ospreybend/batch_faults_test.go
+++ b/cmd/ospreybend/batch_faults_test.go
@@ -14,7 +14,7 @@
 
 func newSession(t *testing.T, r *localNode, options ...client.Option) *client.Session {
 	t.Helper()
-	made, err := r.admin.Create(t.Context(), "anna", 10_000)
+	made, err := r.admin.CreateTenant(t.Context(), "anna", 10_000)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/ospreybend/cli_test.go
+++ b/cmd/ospreybend/cli_test.go
@@ -39,7 +39,7 @@
 // The program's own server passes every case of the conformance suite.
 func TestBatch_conforms(t *testing.T) {
 	r := newTestNode(t, fakeplatform.For(5*time.Millisecond))
-	tenant, err := r.admin.Create(t.Context(), "conform", 30_000)
+	tenant, err := r.admin.CreateTenant(t.Context(), "conform", 30_000)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/ospreybend/demo.go
+++ b/cmd/ospreybend/demo.go
@@ -198,7 +198,7 @@
 				if id, index := drmaa.SplitJobID(event.Job); id == arrayID {
 					name = "array " + strconv.Itoa(index)
 				}
-				if event.State != drmaa.QueuedHeld && event.Event == drmaa.NewState {
+				if event.State != drmaa.QueuedHeld && event.Event == drmaa.EventNewState {
 					d.say("  %s  %-9s %-9s %s", event.Time[11:23], name, event.State, event.SubState)
 				}
 			}
--- a/cmd/ospreybend/local_node.go
+++ b/cmd/ospreybend/local_node.go
@@ -110,7 +110,7 @@
 
 // newTenantSession creates a tenant with a quota of unfinished jobs, and a session of it at the batch API.
 func newTenantSession(ctx context.Context, admin *client.Admin, batchURL, name string, quota int) (*client.Session, error) {
-	tenant, err := admin.Create(ctx, name, quota)
+	tenant, err := admin.CreateTenant(ctx, name, quota)
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/ospreybend/measure_kill_test.go
+++ b/cmd/ospreybend/measure_kill_test.go
@@ -46,7 +46,7 @@
 // one array whose bookings begin once.
 func TestNode_killedDuringBulkSubmission(t *testing.T) {
 	fleet, n := startChild(t, 2, 16, time.Millisecond)
-	made, err := n.admin.Create(t.Context(), "anna", 100_000)
+	made, err := n.admin.CreateTenant(t.Context(), "anna", 100_000)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/drmaa/client/admin.go
+++ b/drmaa/client/admin.go
@@ -50,8 +50,8 @@
 	Reason string `json:"reason"`
 }
 
-// Create creates a tenant. The result has its token.
-func (a *Admin) Create(ctx context.Context, name string, quota int) (*Tenant, error) {
+// CreateTenant creates a tenant. The result has its token.
+func (a *Admin) CreateTenant(ctx context.Context, name string, quota int) (*Tenant, error) {
 	var t Tenant
 	return &t, a.client.do(ctx, apiCall{method: "POST", path: tenantsPath, in: createRequest{Quota: quota, Name: name}, out: &t})
 }
@@ -63,19 +63,19 @@
 		in: quotaRequest{quota}, out: &t, retryable: true})
 }
 
-// Rotate replaces a tenant's token. The result has the new one.
-func (a *Admin) Rotate(ctx context.Context, name string) (*Tenant, error) {
+// RotateToken replaces a tenant's token. The result has the new one.
+func (a *Admin) RotateToken(ctx context.Context, name string) (*Tenant, error) {
 	var t Tenant
 	return &t, a.client.do(ctx, apiCall{method: "POST", path: tenantsPath + "/" + url.PathEscape(name) + "/token", out: &t})
 }
 
-// Remove disables a tenant. The jobs that it has submitted still run to their end.
-func (a *Admin) Remove(ctx context.Context, name string) error {
+// DisableTenant disables a tenant. The jobs that it has submitted still run to their end.
+func (a *Admin) DisableTenant(ctx context.Context, name string) error {
 	return a.client.do(ctx, apiCall{method: "DELETE", path: tenantsPath + "/" + url.PathEscape(name), retryable: true})
 }
 
-// Queue has the counters and the state of the batch API.
-type Queue struct {
+// QueueStatus has the counters and the state of the batch API.
+type QueueStatus struct {
 	Unfinished int    `json:"unfinished"`
 	Queued     int    `json:"queued"`
 	InCore     int    `json:"inCore"`
@@ -91,8 +91,8 @@
 }
 
 // Queue returns the counters and the state of the batch API.
-func (a *Admin) Queue(ctx context.Context) (*Queue, error) {
-	var q Queue
+func (a *Admin) Queue(ctx context.Context) (*QueueStatus, error) {
+	var q QueueStatus
 	return &q, a.client.do(ctx, getCall("/admin/v1/queue", &q))
 }
 
--- a/drmaa/drmaa_test.go
+++ b/drmaa/drmaa_test.go
@@ -69,11 +69,11 @@
 		t.Errorf("path for index 7 %q, body for index 7 %q, body for no index %q; want /pruefen/a%%20b/p-7, x7 and x$DRMAA_INDEX$",
 			got, in.Body("7"), in.Body(""))
 	}
-	if in.Start() != now.Add(time.Hour).UnixMicro() || in.End(5) != now.Add(2*time.Hour).UnixMicro() || in.Slots() != 1 {
-		t.Errorf("start %d, deadline %d, %v slots; want %d, %d and 1 slot", in.Start(), in.End(5), in.Slots(),
+	if in.StartMicros() != now.Add(time.Hour).UnixMicro() || in.DeadlineMicros(5) != now.Add(2*time.Hour).UnixMicro() || in.Slots() != 1 {
+		t.Errorf("start %d, deadline %d, %v slots; want %d, %d and 1 slot", in.StartMicros(), in.DeadlineMicros(5), in.Slots(),
 			now.Add(time.Hour).UnixMicro(), now.Add(2*time.Hour).UnixMicro())
 	}
-	if got := (&JobTemplate{Deadline: 2}).End(5); got != 2_000_005 {
+	if got := (&JobTemplate{Deadline: 2}).DeadlineMicros(5); got != 2_000_005 {
 		t.Errorf("deadline of a job submitted at 5 µs with a deadline of 2 s: got %d µs, want 2000005 µs", got)
 	}
 	first, again := in.Digest(""), in.Digest("")
@@ -156,13 +156,13 @@
 func TestState_transitions(t *testing.T) {
 	for _, from := range States() {
 		for _, to := range States() {
-			if from.Final() && from.MayBecome(to) {
+			if from.Final() && from.CanTransitionTo(to) {
 				t.Errorf("final state %s may become %s", from, to)
 			}
 		}
-		if from.Waiting() && (from.Hold().Release() != from.Release() || !from.MayBecome(Failed)) {
+		if from.Waiting() && (from.Hold().Release() != from.Release() || !from.CanTransitionTo(Failed)) {
 			t.Errorf("%s: hold gives %s, release gives %s, may become FAILED: %v; want hold and release to agree and FAILED to be allowed",
-				from, from.Hold(), from.Release(), from.MayBecome(Failed))
+				from, from.Hold(), from.Release(), from.CanTransitionTo(Failed))
 		}
 	}
 	if State("ASLEEP").Known() || !Requeued.Waiting() || Running.Waiting() || !RequeuedHeld.Held() {
--- a/drmaa/errors.go
+++ b/drmaa/errors.go
@@ -5,30 +5,30 @@
 	"time"
 )
 
-// Name is the name of a DRMAA exception (GFD.194 clause 5).
-type Name string
+// ErrorName is the name of a DRMAA exception (GFD.194 clause 5).
+type ErrorName string
 
 // The exceptions that the HTTP binding uses.
 const (
-	Denied               Name = "DeniedByDrmsException"
-	Communication        Name = "DrmCommunicationException"
-	TryLater             Name = "TryLaterException"
-	Timeout              Name = "TimeoutException"
-	Internal             Name = "InternalException"
-	InvalidArgument      Name = "InvalidArgumentException"
-	InvalidSession       Name = "InvalidSessionException"
-	InvalidState         Name = "InvalidStateException"
-	OutOfResource        Name = "OutOfResourceException"
-	UnsupportedAttribute Name = "UnsupportedAttributeException"
-	UnsupportedOperation Name = "UnsupportedOperationException"
+	Denied               ErrorName = "DeniedByDrmsException"
+	Communication        ErrorName = "DrmCommunicationException"
+	TryLater             ErrorName = "TryLaterException"
+	Timeout              ErrorName = "TimeoutException"
+	Internal             ErrorName = "InternalException"
+	InvalidArgument      ErrorName = "InvalidArgumentException"
+	InvalidSession       ErrorName = "InvalidSessionException"
+	InvalidState         ErrorName = "InvalidStateException"
+	OutOfResource        ErrorName = "OutOfResourceException"
+	UnsupportedAttribute ErrorName = "UnsupportedAttributeException"
+	UnsupportedOperation ErrorName = "UnsupportedOperationException"
 )
 
 // Error is a DRMAA exception, as the body of an HTTP response has it.
 type Error struct {
-	Status    int    `json:"-"` // HTTP status code
-	Name      Name   `json:"error"`
-	Message   string `json:"message"`
-	Attribute string `json:"attribute,omitempty"` // the attribute or parameter at fault
+	Status    int       `json:"-"` // HTTP status code
+	Name      ErrorName `json:"error"`
+	Message   string    `json:"message"`
+	Attribute string    `json:"attribute,omitempty"` // the attribute or parameter at fault
 
 	RetryAfter time.Duration `json:"-"` // time to wait before a retry; 0: unknown
 	Job        *Job          `json:"job,omitempty"`
--- a/drmaa/filter.go
+++ b/drmaa/filter.go
@@ -140,10 +140,10 @@
 	set("name", f.Name)
 	set("accountingId", f.AccountingID)
 	set("array", f.Array)
-	set("submittedFrom", Stamp(f.SubmittedFrom))
-	set("submittedTo", Stamp(f.SubmittedTo))
-	set("finishedFrom", Stamp(f.FinishedFrom))
-	set("finishedTo", Stamp(f.FinishedTo))
+	set("submittedFrom", FormatTime(f.SubmittedFrom))
+	set("submittedTo", FormatTime(f.SubmittedTo))
+	set("finishedFrom", FormatTime(f.FinishedFrom))
+	set("finishedTo", FormatTime(f.FinishedTo))
 	set("next", f.Before.String())
 	if f.Limit > 0 {
 		set("limit", strconv.Itoa(f.Limit))
@@ -162,16 +162,18 @@
 	return names
 }
 
-// Unfinished reports whether jobs that are not in a final state can match.
-func (f *Filter) Unfinished() bool {
+// MatchesUnfinished reports whether jobs that are not in a final state can match.
+func (f *Filter) MatchesUnfinished() bool {
 	return f.FinishedFrom == 0 && f.FinishedTo == 0 &&
 		(len(f.States) == 0 || slices.ContainsFunc(f.States, func(s State) bool { return !s.Final() }))
 }
 
-// Ended reports whether jobs in a final state can match.
-func (f *Filter) Ended() bool {
+// MatchesEnded reports whether jobs in a final state can match.
+func (f *Filter) MatchesEnded() bool {
 	return len(f.States) == 0 || slices.ContainsFunc(f.States, State.Final)
 }
 
-// Matches reports whether a job in state s can match; the other criteria are not checked.
-func (f *Filter) Matches(s State) bool { return len(f.States) == 0 || slices.Contains(f.States, s) }
+// MatchesState reports whether a job in state s can match; the other criteria are not checked.
+func (f *Filter) MatchesState(s State) bool {
+	return len(f.States) == 0 || slices.Contains(f.States, s)
+}
--- a/drmaa/info.go
+++ b/drmaa/info.go
@@ -89,8 +89,8 @@
 
 // Event kinds: DrmaaEvent (GFD.194 clause 8.7).
 const (
-	NewState = "NEW_STATE"
-	Migrated = "MIGRATED"
+	EventNewState = "NEW_STATE"
+	EventMigrated = "MIGRATED"
 )
 
 // Event is one notification. Sequence numbers increase by one within a tenant's stream.
@@ -153,8 +153,8 @@
 	}
 }
 
-// Stamp formats a time in Unix microseconds as an RFC 3339 timestamp in UTC, and 0 as "".
-func Stamp(micros int64) string {
+// FormatTime formats a time in Unix microseconds as an RFC 3339 timestamp in UTC, and 0 as "".
+func FormatTime(micros int64) string {
 	if micros == 0 {
 		return ""
 	}
--- a/drmaa/state.go
+++ b/drmaa/state.go
@@ -53,10 +53,10 @@
 	RequeuedHeld: {Requeued, Failed},
 }
 
-// MayBecome reports whether a job may change from state s to state to. RUNNING may be skipped, because
+// CanTransitionTo reports whether a job may change from state s to state to. RUNNING may be skipped, because
 // the start of a job may become known only with its end. A queued job whose step was rejected is
 // requeued.
-func (s State) MayBecome(to State) bool {
+func (s State) CanTransitionTo(to State) bool {
 	return s == to && !s.Final() || slices.Contains(transitions[s], to)
 }
 
--- a/drmaa/template.go
+++ b/drmaa/template.go
@@ -255,12 +255,12 @@
 	return 1
 }
 
-// Start returns the earliest start time in Unix microseconds, or 0 if the template sets none.
-func (t *JobTemplate) Start() int64 { return unixMicros(t.StartTime) }
+// StartMicros returns the earliest start time in Unix microseconds, or 0 if the template sets none.
+func (t *JobTemplate) StartMicros() int64 { return unixMicros(t.StartTime) }
 
-// End returns the deadline of a job submitted at the given time, both in Unix microseconds. It is 0 if the
-// template sets none.
-func (t *JobTemplate) End(submitted int64) int64 {
+// DeadlineMicros returns the deadline of a job submitted at the given time, both in Unix microseconds. It
+// is 0 if the template sets none.
+func (t *JobTemplate) DeadlineMicros(submitted int64) int64 {
 	if t.Deadline > 0 {
 		return submitted + seconds(t.Deadline).Microseconds()
 	}
--- a/internal/node/batch/circuitbreaker/circuit.go
+++ b/internal/node/batch/circuitbreaker/circuit.go
@@ -27,8 +27,8 @@
 	Failing State = "failing" // the last call failed
 )
 
-// Circuit is a circuit breaker. It is not safe for concurrent use.
-type Circuit struct {
+// Breaker is a circuit breaker. It is not safe for concurrent use.
+type Breaker struct {
 	config       Config
 	inFlight     int           // number of calls that have not ended
 	lastProgress time.Duration // end of the last call, or start of a call made while none was in flight, whichever is later
@@ -38,10 +38,10 @@
 }
 
 // New returns a closed circuit breaker.
-func New(c Config) *Circuit { return &Circuit{config: c} }
+func New(c Config) *Breaker { return &Breaker{config: c} }
 
 // CallBegan records the start of a store call.
-func (c *Circuit) CallBegan(now time.Duration) {
+func (c *Breaker) CallBegan(now time.Duration) {
 	if c.inFlight == 0 {
 		c.lastProgress = now
 	}
@@ -49,7 +49,7 @@
 }
 
 // CallEnded records the end of a store call.
-func (c *Circuit) CallEnded(now time.Duration, failed bool) {
+func (c *Breaker) CallEnded(now time.Duration, failed bool) {
 	c.inFlight--
 	c.lastProgress = now
 	c.failing = failed
@@ -59,7 +59,7 @@
 }
 
 // State returns the state of the store.
-func (c *Circuit) State(now time.Duration) State {
+func (c *Breaker) State(now time.Duration) State {
 	switch {
 	case c.inFlight > 0 && now-c.lastProgress > c.config.StallTime:
 		return Stalled
@@ -70,7 +70,7 @@
 }
 
 // Admit reports whether a submission may be accepted, and if not, how long to wait before a retry.
-func (c *Circuit) Admit(now time.Duration) (after time.Duration, ok bool) {
+func (c *Breaker) Admit(now time.Duration) (after time.Duration, ok bool) {
 	switch c.State(now) {
 	case Healthy:
 		return 0, true
@@ -85,10 +85,10 @@
 }
 
 // CountRejected counts a submission that was admitted but rejected later.
-func (c *Circuit) CountRejected() { c.rejected++ }
+func (c *Breaker) CountRejected() { c.rejected++ }
 
 // InFlight returns the number of store calls that have not ended.
-func (c *Circuit) InFlight() int { return c.inFlight }
+func (c *Breaker) InFlight() int { return c.inFlight }
 
 // Rejected returns the number of rejected submissions.
-func (c *Circuit) Rejected() uint64 { return c.rejected }
+func (c *Breaker) Rejected() uint64 { return c.rejected }
--- a/internal/node/batch/circuitbreaker/circuit_test.go
+++ b/internal/node/batch/circuitbreaker/circuit_test.go
@@ -8,7 +8,7 @@
 const ms = time.Millisecond
 
 // The circuit opens after StallTime without progress, while calls are in flight.
-func TestCircuit_stalled(t *testing.T) {
+func TestBreaker_stalled(t *testing.T) {
 	c := New(Config{StallTime: 500 * ms, RetryInterval: time.Second})
 	admits := func(now time.Duration) bool { _, ok := c.Admit(now); return ok }
 	c.CallBegan(0)
@@ -30,7 +30,7 @@
 }
 
 // After a failed call the circuit admits one trial per RetryInterval, and a successful call closes it.
-func TestCircuit_failing(t *testing.T) {
+func TestBreaker_failing(t *testing.T) {
 	c := New(Config{StallTime: 500 * ms, RetryInterval: time.Second})
 	c.CallBegan(0)
 	c.CallEnded(10*ms, true)
--- a/internal/node/batch/cli/manage.go
+++ b/internal/node/batch/cli/manage.go
@@ -164,7 +164,9 @@
 
 // Run runs the command.
 func (c *TenantCreate) Run(env *Env) error {
-	return c.show(env, func(a *client.Admin) ([]client.Tenant, error) { return single(a.Create(env.Ctx, c.Name, c.Quota)) })
+	return c.show(env, func(a *client.Admin) ([]client.Tenant, error) {
+		return single(a.CreateTenant(env.Ctx, c.Name, c.Quota))
+	})
 }
 
 // TenantQuota changes a quota.
@@ -187,7 +189,7 @@
 
 // Run runs the command.
 func (c *TenantRotate) Run(env *Env) error {
-	return c.show(env, func(a *client.Admin) ([]client.Tenant, error) { return single(a.Rotate(env.Ctx, c.Name)) })
+	return c.show(env, func(a *client.Admin) ([]client.Tenant, error) { return single(a.RotateToken(env.Ctx, c.Name)) })
 }
 
 // TenantRemove removes a tenant.
@@ -199,7 +201,7 @@
 // Run runs the command.
 func (c *TenantRemove) Run(env *Env) error {
 	return c.show(env, func(a *client.Admin) ([]client.Tenant, error) {
-		return []client.Tenant{{Name: c.Name}}, a.Remove(env.Ctx, c.Name)
+		return []client.Tenant{{Name: c.Name}}, a.DisableTenant(env.Ctx, c.Name)
 	})
 }
 
--- a/internal/node/batch/httpapi/admin.go
+++ b/internal/node/batch/httpapi/admin.go
@@ -16,25 +16,25 @@
 	maxQuota  = 1_000_000
 )
 
-// Admin serves the administration API of the batch API: tenants, their quotas and tokens, and the jobs
+// AdminHandler serves the administration API of the batch API: tenants, their quotas and tokens, and the jobs
 // of all tenants. It has its own address and token.
-type Admin struct {
-	handler   *Front
+type AdminHandler struct {
+	handler   *Handler
 	store     jobs.StoreExecutor
 	tokenHash string
 	creating  map[string]bool // names of tenants whose creation is being stored
 }
 
-// NewAdmin returns the administration API. tokenHash is the TokenHash of its token.
-func NewAdmin(handler *Front, store jobs.StoreExecutor, tokenHash string) *Admin {
-	return &Admin{handler: handler, store: store, tokenHash: tokenHash, creating: map[string]bool{}}
+// NewAdminHandler returns the handler of the administration API. tokenHash is the TokenHash of its token.
+func NewAdminHandler(handler *Handler, store jobs.StoreExecutor, tokenHash string) *AdminHandler {
+	return &AdminHandler{handler: handler, store: store, tokenHash: tokenHash, creating: map[string]bool{}}
 }
 
 // SetTokenHash replaces the token by the one with this TokenHash.
-func (a *Admin) SetTokenHash(hash string) { a.tokenHash = hash }
+func (a *AdminHandler) SetTokenHash(hash string) { a.tokenHash = hash }
 
 // Serve serves one call of the administration API.
-func (a *Admin) Serve(call *protocol.Call) {
+func (a *AdminHandler) Serve(call *protocol.Call) {
 	token, ok := bearerToken(call)
 	if !ok || subtle.ConstantTimeCompare([]byte(TokenHash(token)), []byte(a.tokenHash)) != 1 {
 		replyError(call, invalidToken)
@@ -92,7 +92,7 @@
 
 // withStore calls run with the store. After success it calls onSuccess. If run fails or the store accepts
 // no call, it calls onFailure and responds with the error.
-func (a *Admin) withStore(call *protocol.Call, run func(context.Context, jobs.Store) error, onSuccess, onFailure func()) {
+func (a *AdminHandler) withStore(call *protocol.Call, run func(context.Context, jobs.Store) error, onSuccess, onFailure func()) {
 	if !a.store.Call(run, func(err error) {
 		if err != nil {
 			onFailure()
@@ -107,7 +107,7 @@
 }
 
 // listTenants responds with all tenants.
-func (a *Admin) listTenants(call *protocol.Call) {
+func (a *AdminHandler) listTenants(call *protocol.Call) {
 	out := []tenantView{}
 	for _, t := range a.handler.jobs.Tenants() {
 		out = append(out, tenantView{Tenant: t.Tenant, Unfinished: t.Unfinished()})
@@ -118,7 +118,7 @@
 }
 
 // storeTenant writes a tenant to the store, then puts it into effect and responds with it.
-func (a *Admin) storeTenant(call *protocol.Call, t jobs.Tenant, status int, token string) {
+func (a *AdminHandler) storeTenant(call *protocol.Call, t jobs.Tenant, status int, token string) {
 	a.withStore(call, func(ctx context.Context, store jobs.Store) error { return store.PutTenant(ctx, t) }, func() {
 		delete(a.creating, t.Name)
 		reply(call, status, tenantView{Tenant: t, Unfinished: a.handler.jobs.PutTenant(t).Unfinished(), Token: token})
@@ -126,7 +126,7 @@
 }
 
 // createTenant creates a tenant with a new token.
-func (a *Admin) createTenant(call *protocol.Call) {
+func (a *AdminHandler) createTenant(call *protocol.Call) {
 	var in jobs.Tenant
 	if e := decodeBody(call, &in); e != nil {
 		replyError(call, e)
@@ -151,7 +151,7 @@
 }
 
 // changeQuota changes a tenant's quota.
-func (a *Admin) changeQuota(call *protocol.Call, name string) {
+func (a *AdminHandler) changeQuota(call *protocol.Call, name string) {
 	t := a.handler.jobs.Tenant(name)
 	if t == nil {
 		replyError(call, unknownTenant)
@@ -170,7 +170,7 @@
 }
 
 // rotateToken replaces a tenant's token.
-func (a *Admin) rotateToken(call *protocol.Call, name string) {
+func (a *AdminHandler) rotateToken(call *protocol.Call, name string) {
 	t := a.handler.jobs.Tenant(name)
 	if t == nil {
 		replyError(call, unknownTenant)
@@ -183,7 +183,7 @@
 
 // disableTenant disables a tenant. The jobs that it has submitted still run to their end. Its name
 // stays reserved, because a new tenant of that name would see the old one's jobs.
-func (a *Admin) disableTenant(call *protocol.Call, name string) {
+func (a *AdminHandler) disableTenant(call *protocol.Call, name string) {
 	t := a.handler.jobs.Tenant(name)
 	if t == nil {
 		replyError(call, unknownTenant)
@@ -198,7 +198,7 @@
 }
 
 // listJobs responds with one page of the jobs of a tenant, or of all tenants if tenant is empty.
-func (a *Admin) listJobs(call *protocol.Call, tenant, query string) {
+func (a *AdminHandler) listJobs(call *protocol.Call, tenant, query string) {
 	if tenant != "" && a.handler.jobs.Tenant(tenant) == nil {
 		replyError(call, unknownTenant)
 		return
@@ -218,7 +218,7 @@
 }
 
 // listUndecided responds with one page of the jobs that may have run and wait for an operator's decision.
-func (a *Admin) listUndecided(call *protocol.Call, query string) {
+func (a *AdminHandler) listUndecided(call *protocol.Call, query string) {
 	f, e := drmaa.ReadFilter(query)
 	if e == nil && f.Query() != (drmaa.Filter{Limit: f.Limit, Before: f.Before}).Query() {
 		e = drmaa.InvalidArgumentError("query", "accepts only limit and next")
@@ -239,7 +239,7 @@
 const maxReasonBytes = 1000
 
 // settleJob records an operator's decision whether an undecided job has run.
-func (a *Admin) settleJob(call *protocol.Call, id string) {
+func (a *AdminHandler) settleJob(call *protocol.Call, id string) {
 	var in struct {
 		Ran    *bool  `json:"ran"`
 		Reason string `json:"reason"`
--- a/internal/node/batch/httpapi/binding.go
+++ b/internal/node/batch/httpapi/binding.go
@@ -2,7 +2,7 @@
 // its administration API. It parses and validates calls, authenticates tenants and writes the
 // responses; package jobs implements the operations.
 //
-// Front and Admin serve the calls of a protocol.Server, on the event loop.
+// Handler and AdminHandler serve the calls of a protocol.Server, on the event loop.
 package httpapi
 
 import (
@@ -33,17 +33,17 @@
 	invalidToken = &drmaa.Error{Status: 401, Name: drmaa.Denied, Message: "no valid token"}
 )
 
-// Front serves the batch API.
-type Front struct {
+// Handler serves the batch API.
+type Handler struct {
 	jobs    *jobs.Manager
 	clock   routing.Clock
 	timers  *timerqueue.Queue
 	version string
 }
 
-// New returns the server of the batch API. version is the version of the program.
-func New(manager *jobs.Manager, clock routing.Clock, timers *timerqueue.Queue, version string) *Front {
-	return &Front{jobs: manager, clock: clock, timers: timers, version: version}
+// NewHandler returns the handler of the batch API. version is the version of the program.
+func NewHandler(manager *jobs.Manager, clock routing.Clock, timers *timerqueue.Queue, version string) *Handler {
+	return &Handler{jobs: manager, clock: clock, timers: timers, version: version}
 }
 
 // apiCall is one authenticated call.
@@ -57,7 +57,7 @@
 }
 
 // Serve serves one call of the batch API.
-func (h *Front) Serve(in *protocol.Call) {
+func (h *Handler) Serve(in *protocol.Call) {
 	call := &apiCall{Call: in, method: string(in.Method)}
 	// Tokens are looked up by their hashes, so that response times reveal nothing about a valid token.
 	if token, ok := bearerToken(in); ok {
@@ -83,34 +83,34 @@
 
 // routes maps method and path to the handler. A '*' stands for the name of a session or the ID of a job
 // or an array.
-var routes = map[string]func(*Front, *apiCall){
-	"GET ":                             (*Front).getManager,
-	"GET sessions":                     (*Front).listSessions,
-	"POST sessions":                    (*Front).createSession,
-	"GET sessions/*":                   (*Front).getSession,
-	"DELETE sessions/*":                (*Front).closeSession,
-	"POST sessions/*/control":          (*Front).controlSession,
-	"POST sessions/*/wait":             (*Front).waitAny,
-	"GET sessions/*/events":            (*Front).readEvents,
-	"GET sessions/*/jobs":              (*Front).listJobs,
-	"POST sessions/*/jobs":             (*Front).submit,
-	"GET sessions/*/jobs/*":            (*Front).getJob,
-	"POST sessions/*/jobs/*/wait":      (*Front).waitJob,
-	"POST sessions/*/jobs/*/control":   (*Front).controlJob,
-	"POST sessions/*/arrays":           (*Front).submitBulk,
-	"GET sessions/*/arrays/*":          (*Front).getArray,
-	"POST sessions/*/arrays/*/wait":    (*Front).waitArray,
-	"POST sessions/*/arrays/*/control": (*Front).controlArray,
-	"GET monitoring/jobs":              (*Front).listJobs,
-	"GET monitoring/queues":            (*Front).listQueues,
-	"GET monitoring/machines":          (*Front).listMachines,
-	"GET monitoring/reservations":      (*Front).rejectReservations,
-	"GET reservations":                 (*Front).rejectReservations,
-	"POST reservations":                (*Front).rejectReservations,
+var routes = map[string]func(*Handler, *apiCall){
+	"GET ":                             (*Handler).getManager,
+	"GET sessions":                     (*Handler).listSessions,
+	"POST sessions":                    (*Handler).createSession,
+	"GET sessions/*":                   (*Handler).getSession,
+	"DELETE sessions/*":                (*Handler).closeSession,
+	"POST sessions/*/control":          (*Handler).controlSession,
+	"POST sessions/*/wait":             (*Handler).waitAny,
+	"GET sessions/*/events":            (*Handler).readEvents,
+	"GET sessions/*/jobs":              (*Handler).listJobs,
+	"POST sessions/*/jobs":             (*Handler).submit,
+	"GET sessions/*/jobs/*":            (*Handler).getJob,
+	"POST sessions/*/jobs/*/wait":      (*Handler).waitJob,
+	"POST sessions/*/jobs/*/control":   (*Handler).controlJob,
+	"POST sessions/*/arrays":           (*Handler).submitBulk,
+	"GET sessions/*/arrays/*":          (*Handler).getArray,
+	"POST sessions/*/arrays/*/wait":    (*Handler).waitArray,
+	"POST sessions/*/arrays/*/control": (*Handler).controlArray,
+	"GET monitoring/jobs":              (*Handler).listJobs,
+	"GET monitoring/queues":            (*Handler).listQueues,
+	"GET monitoring/machines":          (*Handler).listMachines,
+	"GET monitoring/reservations":      (*Handler).rejectReservations,
+	"GET reservations":                 (*Handler).rejectReservations,
+	"POST reservations":                (*Handler).rejectReservations,
 }
 
 // route returns the handler of a call, or nil if the path or the method is unknown.
-func route(call *apiCall) func(*Front, *apiCall) {
+func route(call *apiCall) func(*Handler, *apiCall) {
 	pattern := slices.Clone(call.path)
 	for _, position := range []int{1, 3} {
 		if position < len(pattern) && pattern[0] == "sessions" {
@@ -121,21 +121,21 @@
 }
 
 // listQueues responds with the job classes.
-func (h *Front) listQueues(call *apiCall) {
+func (h *Handler) listQueues(call *apiCall) {
 	reply(call, 200, struct {
 		Queues []drmaa.Queue `json:"queues"`
 	}{h.jobs.Queues(call.tenant)})
 }
 
 // listMachines responds with the prep workers.
-func (h *Front) listMachines(call *apiCall) {
+func (h *Handler) listMachines(call *apiCall) {
 	reply(call, 200, struct {
 		Machines []drmaa.Machine `json:"machines"`
 	}{h.jobs.Machines(call.tenant)})
 }
 
 // rejectReservations rejects all calls on advance reservations.
-func (h *Front) rejectReservations(call *apiCall) {
+func (h *Handler) rejectReservations(call *apiCall) {
 	replyError(call, drmaa.UnsupportedOperationError("there are no advance reservations"))
 }
 
@@ -232,14 +232,14 @@
 }
 
 // getManager responds with the attributes of the service and the results of supports().
-func (h *Front) getManager(call *apiCall) {
+func (h *Handler) getManager(call *apiCall) {
 	reply(call, 200, drmaa.Manager{DrmsName: "ospreybend", DrmsVersion: h.version, DrmaaName: "ospreybend HTTP binding",
 		DrmaaVersion: "2.2", Categories: slices.Sorted(maps.Keys(h.jobs.Classes())), Supports: drmaa.Supports(), UnsupportedAttributes: drmaa.UnsupportedAttributes,
 		MaxBulkJobs: drmaa.MaxBulkJobs})
 }
 
 // listSessions responds with the tenant's sessions.
-func (h *Front) listSessions(call *apiCall) {
+func (h *Handler) listSessions(call *apiCall) {
 	all := h.jobs.Sessions(call.tenant)
 	names := make([]string, len(all))
 	for i, s := range all {
@@ -253,7 +253,7 @@
 
 // createSession is createJobSession and openJobSession. Without a mode it opens the session and creates
 // it if it does not exist.
-func (h *Front) createSession(call *apiCall) {
+func (h *Handler) createSession(call *apiCall) {
 	var in struct {
 		Name string `json:"name"`
 		Mode string `json:"mode"`
@@ -274,7 +274,7 @@
 }
 
 // sessionReplier returns a callback that responds with a session, or without a body if status is 204.
-func (h *Front) sessionReplier(call *apiCall, status int) func(*jobs.Session, *drmaa.Error) {
+func (h *Handler) sessionReplier(call *apiCall, status int) func(*jobs.Session, *drmaa.Error) {
 	return func(s *jobs.Session, e *drmaa.Error) {
 		switch {
 		case e != nil:
@@ -288,7 +288,7 @@
 }
 
 // getSession responds with a session in any state.
-func (h *Front) getSession(call *apiCall) {
+func (h *Handler) getSession(call *apiCall) {
 	for _, s := range h.jobs.Sessions(call.tenant) {
 		if s.Name == call.path[1] {
 			reply(call, 200, s)
@@ -299,12 +299,12 @@
 }
 
 // closeSession is closeJobSession.
-func (h *Front) closeSession(call *apiCall) {
+func (h *Handler) closeSession(call *apiCall) {
 	h.jobs.SetSession(call.tenant, call.path[1], jobs.SessionClosed, "exist", h.sessionReplier(call, 204))
 }
 
 // controlSession opens, closes or destroys a session.
-func (h *Front) controlSession(call *apiCall) {
+func (h *Handler) controlSession(call *apiCall) {
 	action, e := readAction(call)
 	switch {
 	case e != nil:
--- a/internal/node/batch/httpapi/binding_test.go
+++ b/internal/node/batch/httpapi/binding_test.go
@@ -221,7 +221,7 @@
 }
 
 // Tenants are created, changed, given a new token and disabled, and each change is in effect at once.
-func TestAdmin_tenants(t *testing.T) {
+func TestAdminHandler_tenants(t *testing.T) {
 	f := newFixture(t, "")
 	admin := func(method, path, body string) string {
 		return "a " + request(adminToken, method, "/admin/v1/"+path, body)
@@ -288,7 +288,7 @@
 }
 
 // A booking that may have run is listed as undecided and can be settled once. Its owner sees the decision.
-func TestAdmin_settleUndecided(t *testing.T) {
+func TestAdminHandler_settleUndecided(t *testing.T) {
 	f := newFixture(t, "")
 	admin := func(method, path, body string) string {
 		return "a " + request(adminToken, method, "/admin/v1/"+path, body)
--- a/internal/node/batch/httpapi/events.go
+++ b/internal/node/batch/httpapi/events.go
@@ -20,7 +20,7 @@
 // readEvents responds with the events after a cursor: at once if there are any, otherwise as soon as there
 // is one or at the timeout. With stream=1 it responds with a stream that has a line for each batch of
 // events.
-func (h *Front) readEvents(call *apiCall) {
+func (h *Handler) readEvents(call *apiCall) {
 	if _, e := h.jobs.Session(call.tenant, call.path[1]); e != nil {
 		replyError(call, e)
 		return
@@ -60,7 +60,7 @@
 // eventReader is a client that reads events. It holds a cursor but buffers no events: those that its
 // connection cannot take yet stay in the tenant's bounded stream.
 type eventReader struct {
-	handler      *Front
+	handler      *Handler
 	call         *apiCall
 	cursor       string
 	limit        int
--- a/internal/node/batch/httpapi/fixture_test.go
+++ b/internal/node/batch/httpapi/fixture_test.go
@@ -87,9 +87,9 @@
 			f.core, f.executor, f.Loop, &f.Loop.Timers)
 		f.core.SetLoadObserver(f.manager)
 		f.manager.Load(tenants, sessions, unfinished, arrays)
-		handler := New(f.manager, f.Loop, &f.Loop.Timers, "test")
+		handler := NewHandler(f.manager, f.Loop, &f.Loop.Timers, "test")
 		must(t, protocol.NewServer(f.Loop, batch, 40, 1<<20, handler.Serve).Start())
-		must(t, protocol.NewServer(f.Loop, admin, 40, 1<<20, NewAdmin(handler, f.executor, TokenHash(adminToken)).Serve).Start())
+		must(t, protocol.NewServer(f.Loop, admin, 40, 1<<20, NewAdminHandler(handler, f.executor, TokenHash(adminToken)).Serve).Start())
 	})
 	t.Cleanup(f.stopStore)
 	return f
--- a/internal/node/batch/httpapi/jobs.go
+++ b/internal/node/batch/httpapi/jobs.go
@@ -8,7 +8,7 @@
 )
 
 // jobReplier returns a callback that responds with a job or an error.
-func (h *Front) jobReplier(call responder, status int) func(*jobs.Job, *drmaa.Error) {
+func (h *Handler) jobReplier(call responder, status int) func(*jobs.Job, *drmaa.Error) {
 	return func(j *jobs.Job, e *drmaa.Error) {
 		if e != nil {
 			replyError(call, e)
@@ -19,7 +19,7 @@
 }
 
 // arrayReplier returns a callback that responds with a job array or an error.
-func (h *Front) arrayReplier(call responder, status int) func(*jobs.Array, *drmaa.Error) {
+func (h *Handler) arrayReplier(call responder, status int) func(*jobs.Array, *drmaa.Error) {
 	return func(a *jobs.Array, e *drmaa.Error) {
 		if e != nil {
 			replyError(call, e)
@@ -30,7 +30,7 @@
 }
 
 // submit is runJob.
-func (h *Front) submit(call *apiCall) {
+func (h *Handler) submit(call *apiCall) {
 	template, e := drmaa.ReadTemplate(call.Body, h.jobs.Classes(), h.jobs.Now())
 	if e != nil {
 		replyError(call, e)
@@ -40,7 +40,7 @@
 }
 
 // submitBulk is runBulkJobs.
-func (h *Front) submitBulk(call *apiCall) {
+func (h *Handler) submitBulk(call *apiCall) {
 	var b drmaa.Bulk
 	e := drmaa.Decode(call.Body, &b, "the bulk")
 	if e == nil {
@@ -57,7 +57,7 @@
 }
 
 // listJobs responds with one page of a session's jobs, or of all the tenant's jobs.
-func (h *Front) listJobs(call *apiCall) {
+func (h *Handler) listJobs(call *apiCall) {
 	filter, e := drmaa.ReadFilter(call.query)
 	session := ""
 	if e == nil && call.path[0] == "sessions" {
@@ -78,12 +78,12 @@
 }
 
 // getJob responds with a job.
-func (h *Front) getJob(call *apiCall) {
+func (h *Handler) getJob(call *apiCall) {
 	h.jobs.Find(call.tenant, call.path[1], call.path[3], h.jobReplier(call, 200))
 }
 
 // getArray responds with a job array.
-func (h *Front) getArray(call *apiCall) {
+func (h *Handler) getArray(call *apiCall) {
 	h.jobs.FindArray(call.tenant, call.path[1], call.path[3], h.arrayReplier(call, 200))
 }
 
@@ -122,7 +122,7 @@
 }
 
 // waitJob is waitStarted and waitTerminated of a job.
-func (h *Front) waitJob(call *apiCall) {
+func (h *Handler) waitJob(call *apiCall) {
 	in, timeout, e := readWait(call, false, false)
 	if e != nil {
 		replyError(call, e)
@@ -138,7 +138,7 @@
 }
 
 // waitAny is waitAnyStarted and waitAnyTerminated, for a list of jobs, an array or the whole session.
-func (h *Front) waitAny(call *apiCall) {
+func (h *Handler) waitAny(call *apiCall) {
 	in, timeout, e := readWait(call, true, false)
 	s, sessionErr := h.jobs.Session(call.tenant, call.path[1])
 	if e == nil {
@@ -170,7 +170,7 @@
 }
 
 // waitArray waits for one of an array's jobs, or for all of them.
-func (h *Front) waitArray(call *apiCall) {
+func (h *Handler) waitArray(call *apiCall) {
 	in, timeout, e := readWait(call, false, true)
 	if e != nil {
 		replyError(call, e)
@@ -193,7 +193,7 @@
 }
 
 // controlJob performs an action on a job.
-func (h *Front) controlJob(call *apiCall) {
+func (h *Handler) controlJob(call *apiCall) {
 	action, e := readAction(call)
 	if e != nil {
 		replyError(call, e)
@@ -215,7 +215,7 @@
 }
 
 // controlArray performs an action on the jobs of an array.
-func (h *Front) controlArray(call *apiCall) {
+func (h *Handler) controlArray(call *apiCall) {
 	action, e := readAction(call)
 	if e != nil {
 		replyError(call, e)
--- a/internal/node/batch/jobs/events.go
+++ b/internal/node/batch/jobs/events.go
@@ -40,7 +40,7 @@
 		copy(retained, stream.events[n:])
 		stream.events, stream.first = retained, stream.first+uint64(n)
 	}
-	event := drmaa.Event{Seq: stream.first + uint64(len(stream.events)), Time: drmaa.Stamp(m.unixNow()), Event: what, Session: job.Session,
+	event := drmaa.Event{Seq: stream.first + uint64(len(stream.events)), Time: drmaa.FormatTime(m.unixNow()), Event: what, Session: job.Session,
 		Job: job.ID, State: job.State, Machine: machine}
 	if job.State.Final() {
 		event.SubState = job.Reason
--- a/internal/node/batch/jobs/job.go
+++ b/internal/node/batch/jobs/job.go
@@ -52,7 +52,7 @@
 func (job *Job) slots() float64 { return job.Template.Slots() }
 
 func (job *Job) queueKey() queue.Key {
-	start := job.Template.Start()
+	start := job.Template.StartMicros()
 	if start == 0 {
 		start = job.SubmittedAt
 	}
@@ -151,7 +151,7 @@
 	if job.State == to {
 		return
 	}
-	if !job.State.MayBecome(to) {
+	if !job.State.CanTransitionTo(to) {
 		m.modelViolations++
 		slog.Error("invalid job state transition", "id", job.ID, "from", job.State, "to", to)
 	}
@@ -160,7 +160,7 @@
 		job.array.states[to]++
 	}
 	job.State = to
-	m.publish(job, drmaa.NewState, "")
+	m.publish(job, drmaa.EventNewState, "")
 }
 
 // startDeadline fails the job if its deadline passes while it waits. In the core the core
@@ -200,7 +200,7 @@
 		}
 		m.startDeadline(job)
 	}
-	at := max(time.Duration(job.Template.Start())*time.Microsecond, job.notBefore)
+	at := max(time.Duration(job.Template.StartMicros())*time.Microsecond, job.notBefore)
 	switch {
 	case job.State.Held():
 	case now < at:
@@ -266,11 +266,11 @@
 	t := *r.Template
 	t.Input = "" // it may be large, and the client has it
 	v := &drmaa.Job{ID: r.ID, Name: t.JobName, Session: r.Session, Owner: r.Tenant, State: r.State, SubState: r.Reason, Template: &t,
-		Slots: t.Slots(), Queue: t.RemoteCommand, Submitted: drmaa.Stamp(r.SubmittedAt),
-		Dispatched: drmaa.Stamp(r.DispatchedAt), MayHaveRun: r.MayHaveRun, Array: r.Array, Index: r.Index}
+		Slots: t.Slots(), Queue: t.RemoteCommand, Submitted: drmaa.FormatTime(r.SubmittedAt),
+		Dispatched: drmaa.FormatTime(r.DispatchedAt), MayHaveRun: r.MayHaveRun, Array: r.Array, Index: r.Index}
 	for _, s := range r.Steps {
-		v.Steps = append(v.Steps, drmaa.Step{Machine: s.Machine, Sent: drmaa.Stamp(s.SentAt), Started: drmaa.Stamp(s.StartedAt),
-			Ended: drmaa.Stamp(s.EndedAt), Outcome: s.Outcome})
+		v.Steps = append(v.Steps, drmaa.Step{Machine: s.Machine, Sent: drmaa.FormatTime(s.SentAt), Started: drmaa.FormatTime(s.StartedAt),
+			Ended: drmaa.FormatTime(s.EndedAt), Outcome: s.Outcome})
 	}
 	if n := len(r.Steps); n > 0 && r.StartedAt > 0 {
 		at := slices.IndexFunc(r.Steps, func(s Step) bool { return s.StartedAt == r.StartedAt })
@@ -279,12 +279,12 @@
 	if !r.State.Final() {
 		return v
 	}
-	v.Finished, v.Annotation = drmaa.Stamp(r.EndedAt), r.Reason
+	v.Finished, v.Annotation = drmaa.FormatTime(r.EndedAt), r.Reason
 	if r.StartedAt > 0 {
 		v.WallclockTime = float64(r.EndedAt-r.StartedAt) / 1e6
 	}
 	if r.Settled.At > 0 {
-		v.Settled = &drmaa.Settlement{Ran: r.Settled.Ran, Reason: r.Settled.Reason, Time: drmaa.Stamp(r.Settled.At)}
+		v.Settled = &drmaa.Settlement{Ran: r.Settled.Ran, Reason: r.Settled.Reason, Time: drmaa.FormatTime(r.Settled.At)}
 	}
 	if r.ExitStatus >= 0 {
 		status := r.ExitStatus
@@ -302,7 +302,7 @@
 	t := *a.Template
 	t.Input = ""
 	v := &drmaa.Array{ID: a.ID, Session: a.Session, Template: &t, Begin: a.Begin, End: a.End, Step: a.Step,
-		MaxParallel: a.MaxParallel, Submitted: drmaa.Stamp(a.SubmittedAt), States: map[drmaa.State]int{}}
+		MaxParallel: a.MaxParallel, Submitted: drmaa.FormatTime(a.SubmittedAt), States: map[drmaa.State]int{}}
 	for s, n := range a.states {
 		if n > 0 {
 			v.States[s] = n
--- a/internal/node/batch/jobs/jobs_test.go
+++ b/internal/node/batch/jobs/jobs_test.go
@@ -55,7 +55,7 @@
 func TestManager_startTimeAndDeadlineInTheQueue(t *testing.T) {
 	r := newFixture(t)
 	later := template(once)
-	later.StartTime = drmaa.Stamp(r.manager.unixNow() + 30e6)
+	later.StartTime = drmaa.FormatTime(r.manager.unixNow() + 30e6)
 	job := r.submit(later)
 	if r.state(job, drmaa.Queued); len(r.core.ops) != 0 {
 		t.Fatal("begun before its start time")
--- a/internal/node/batch/jobs/lookup.go
+++ b/internal/node/batch/jobs/lookup.go
@@ -147,7 +147,7 @@
 			if job := m.jobs[r.ID]; job != nil {
 				v = m.View(job)
 			}
-			if filter.Matches(v.State) {
+			if filter.MatchesState(v.State) {
 				page.Jobs = append(page.Jobs, v)
 			}
 		}
--- a/internal/node/batch/jobs/manager.go
+++ b/internal/node/batch/jobs/manager.go
@@ -37,7 +37,7 @@
 	classes map[string]drmaa.Class
 	core    Core
 	store   StoreExecutor
-	circuit *circuitbreaker.Circuit
+	circuit *circuitbreaker.Breaker
 	clock   routing.Clock
 	timers  *timerqueue.Queue
 
--- a/internal/node/batch/jobs/property_test.go
+++ b/internal/node/batch/jobs/property_test.go
@@ -60,7 +60,7 @@
 		t.Deadline = 3
 	}
 	if rapid.IntRange(0, 5).Draw(w.t, "later") == 0 {
-		t.StartTime = drmaa.Stamp(w.manager.unixNow() + 2e6)
+		t.StartTime = drmaa.FormatTime(w.manager.unixNow() + 2e6)
 	}
 	if rapid.IntRange(0, 2).Draw(w.t, "keyed") == 0 {
 		t.ClientKey = strconv.Itoa(rapid.IntRange(0, w.keys).Draw(w.t, "key"))
--- a/internal/node/batch/jobs/run.go
+++ b/internal/node/batch/jobs/run.go
@@ -160,7 +160,7 @@
 	}
 	name := m.config.WorkerName(to)
 	if n := len(job.Steps); n > 0 && job.Steps[n-1].Machine != name {
-		m.publish(job, drmaa.Migrated, name)
+		m.publish(job, drmaa.EventMigrated, name)
 	}
 	if job.State == drmaa.Running && !slices.ContainsFunc(job.Steps, func(s Step) bool { return s.StartedAt > 0 && s.EndedAt == 0 }) {
 		m.transition(job, drmaa.Requeued) // the destination that ran it is lost
--- a/internal/node/batch/jobs/submit.go
+++ b/internal/node/batch/jobs/submit.go
@@ -178,9 +178,9 @@
 	now := m.unixNow()
 	m.lastSeq = max(m.lastSeq+1, now)
 	job := &Job{owner: t, session: s, Record: Record{ID: id, Tenant: t.Name, Session: s.Name, Index: index, Seq: m.lastSeq,
-		Template: template, SubmittedAt: now, DeadlineAt: template.End(now), State: drmaa.Queued, ExitStatus: -1}}
+		Template: template, SubmittedAt: now, DeadlineAt: template.DeadlineMicros(now), State: drmaa.Queued, ExitStatus: -1}}
 	if job.DeadlineAt == 0 {
-		job.DeadlineAt = max(now, template.Start()) + m.config.MaxWait.Microseconds()
+		job.DeadlineAt = max(now, template.StartMicros()) + m.config.MaxWait.Microseconds()
 	}
 	if template.SubmitAsHold {
 		job.Held, job.State = true, drmaa.QueuedHeld
@@ -278,7 +278,7 @@
 	}
 	for _, job := range pending.jobs {
 		job.recorded, job.pending = true, nil
-		m.publish(job, drmaa.NewState, "")
+		m.publish(job, drmaa.EventNewState, "")
 	}
 	faultinjection.Hit(faultinjection.AnswerBefore)
 	pending.answer(pending.ref(), nil)
--- a/internal/node/batch/store/jobs.go
+++ b/internal/node/batch/store/jobs.go
@@ -210,9 +210,9 @@
 	add(filter.SubmittedTo > 0, "j.submitted_at < ?", filter.SubmittedTo)
 	add(filter.FinishedFrom > 0, "j.ended_at >= ?", filter.FinishedFrom)
 	add(filter.FinishedTo > 0, "j.ended_at < ?", filter.FinishedTo)
-	add(!filter.Unfinished(), "j.ended_at > 0")
-	add(!filter.Unfinished() && len(filter.States) == 1, "j.state = ?", firstState(filter))
-	add(!filter.Ended(), "j.ended_at = 0")
+	add(!filter.MatchesUnfinished(), "j.ended_at > 0")
+	add(!filter.MatchesUnfinished() && len(filter.States) == 1, "j.state = ?", firstState(filter))
+	add(!filter.MatchesEnded(), "j.ended_at = 0")
 	before := filter.Before
 	add(before != drmaa.Cursor{}, "(j.seq < ? OR j.seq = ? AND j.id > ?)", before.Seq, before.Seq, before.ID)
 	args = append(args, limit)
--- a/internal/testkit/conformance/cases.go
+++ b/internal/testkit/conformance/cases.go
@@ -57,7 +57,7 @@
 	{"job.hold.state", "GFD.194 7.3", "hold of a held job and release of one that is not are InvalidStateException", func(t *run) {
 		j := t.submitOnHold()
 		t.wantClientError(t.session.Act(t.ctx, j.ID, "hold"), drmaa.InvalidState)
-		later := t.submit(drmaa.JobTemplate{StartTime: drmaa.Stamp(time.Now().Add(time.Hour).UnixMicro())})
+		later := t.submit(drmaa.JobTemplate{StartTime: drmaa.FormatTime(time.Now().Add(time.Hour).UnixMicro())})
 		t.wantClientError(t.session.Act(t.ctx, later.ID, "release"), drmaa.InvalidState)
 		t.must(t.session.Act(t.ctx, later.ID, "hold"))
 		t.wantState(later.ID, drmaa.QueuedHeld)
@@ -101,16 +101,16 @@
 	}},
 	{"job.start-time", "GFD.194 8.4", "a job is not begun before its startTime", func(t *run) {
 		at := time.Now().Add(700 * time.Millisecond)
-		j := t.submit(drmaa.JobTemplate{StartTime: drmaa.Stamp(at.UnixMicro())})
+		j := t.submit(drmaa.JobTemplate{StartTime: drmaa.FormatTime(at.UnixMicro())})
 		t.wantState(j.ID, drmaa.Queued)
 		done, err := t.session.Wait(t.ctx, j.ID, client.Terminated)
 		t.must(err)
-		if done.Dispatched < drmaa.Stamp(at.UnixMicro()) {
-			t.fail("dispatched at %s, before %s", done.Dispatched, drmaa.Stamp(at.UnixMicro()))
+		if done.Dispatched < drmaa.FormatTime(at.UnixMicro()) {
+			t.fail("dispatched at %s, before %s", done.Dispatched, drmaa.FormatTime(at.UnixMicro()))
 		}
 	}},
 	{"job.deadline", "GFD.194 8.4", "a job whose deadlineTime passes while it waits is FAILED and has not run", func(t *run) {
-		j := t.submit(drmaa.JobTemplate{SubmitAsHold: true, DeadlineTime: drmaa.Stamp(time.Now().Add(500 * time.Millisecond).UnixMicro())})
+		j := t.submit(drmaa.JobTemplate{SubmitAsHold: true, DeadlineTime: drmaa.FormatTime(time.Now().Add(500 * time.Millisecond).UnixMicro())})
 		done, err := t.session.Wait(t.ctx, j.ID, client.Terminated)
 		t.must(err)
 		if done.State != drmaa.Failed || done.MayHaveRun {
--- a/internal/testkit/conformance/monitoring_cases.go
+++ b/internal/testkit/conformance/monitoring_cases.go
@@ -100,7 +100,7 @@
 	}},
 	{"list.filter", "GFD.194 7.2", "getJobs matches state, category, name, account and times", func(t *run) {
 		t.submit(drmaa.JobTemplate{SubmitAsHold: true, JobName: "x", AccountingID: "acc"})
-		before := drmaa.Stamp(time.Now().Add(-time.Hour).UnixMicro())
+		before := drmaa.FormatTime(time.Now().Add(-time.Hour).UnixMicro())
 		for _, c := range []struct {
 			query string
 			want  int
@@ -135,7 +135,7 @@
 				t.fail("%d missed", got.Missed)
 			}
 			for _, e := range got.Events {
-				if e.Job != j.ID || e.Event != drmaa.NewState || e.Session != t.session.Name {
+				if e.Job != j.ID || e.Event != drmaa.EventNewState || e.Session != t.session.Name {
 					t.fail("%+v", e)
 				}
 				states = append(states, e.State)
--- a/internal/testkit/conformance/run.go
+++ b/internal/testkit/conformance/run.go
@@ -187,7 +187,7 @@
 }
 
 // wantError fails unless the answer is the given error; attribute may be empty.
-func (t *run) wantError(a answer, status int, name drmaa.Name, attribute string) {
+func (t *run) wantError(a answer, status int, name drmaa.ErrorName, attribute string) {
 	switch {
 	case a.status != status || a.fault.Name != name:
 		t.fail("status %d %s, not %d %s: %s", a.status, a.fault.Name, status, name, a.body)
@@ -197,7 +197,7 @@
 }
 
 // wantClientError fails unless the client returns the given error.
-func (t *run) wantClientError(err error, name drmaa.Name) {
+func (t *run) wantClientError(err error, name drmaa.ErrorName) {
 	if !errors.Is(err, &drmaa.Error{Name: name}) {
 		t.fail("%v, not %s", err, name)
 	}
--- a/internal/testkit/conformance/session_cases.go
+++ b/internal/testkit/conformance/session_cases.go
@@ -117,7 +117,7 @@
 		no := false
 		in := drmaa.JobTemplate{RemoteCommand: t.class, Args: []string{"a b", "c"}, JobName: "name", JobCategory: t.class, SubmitAsHold: true,
 			Rerunnable: &no, MinSlots: 2, MaxSlots: 4, Priority: 7, AccountingID: "acc", QueueName: t.class, CostHint: 1.5,
-			StartTime: drmaa.Stamp(time.Now().Add(time.Hour).UnixMicro()), DeadlineTime: drmaa.Stamp(time.Now().Add(2 * time.Hour).UnixMicro())}
+			StartTime: drmaa.FormatTime(time.Now().Add(time.Hour).UnixMicro()), DeadlineTime: drmaa.FormatTime(time.Now().Add(2 * time.Hour).UnixMicro())}
 		j := t.submit(in)
 		got := t.wantState(j.ID, drmaa.QueuedHeld)
 		v := got.Template
