--- a/cmd/inference-router/main.go
+++ b/cmd/inference-router/main.go
@@ -1,9 +1,9 @@
 // Command inference-router runs the router fleet. Each process of the fleet is a sub-command: proxy takes clients' requests,
 // agent keeps the proxy beside it connected to the control plane, control-plane holds the configuration and the registry of
-// workers. The other sub-commands check files, measure a fleet and demonstrate one.
+// workers. The other sub-commands check files, measure a fleet and run a demo.
 //
-// The sub-commands only parse flags and print: the processes are the packages proxy, agent and server, the measurements are
-// in internal/testkit. See docs/design/router-fleet.md for the roles and docs/OPERATORS-FLEET.md for running them.
+// This package only parses flags and prints results: the packages proxy, agent and server implement the processes, packages below
+// internal/testkit the measurements. See docs/design/router-fleet.md for the roles and docs/OPERATORS-FLEET.md for how to run them.
 package main
 
 import (
@@ -27,36 +27,36 @@
 
 // Exit codes of the command.
 const (
-	exitOK    = 0
-	exitFault = 1 // the process could not do its work
-	exitUsage = 2 // the command line or a file that it names is wrong
+	exitOK      = 0
+	exitFailure = 1 // the process or measurement failed, or a checked file is invalid
+	exitUsage   = 2 // the command line is invalid, or the settings file of the process to run is
 )
 
 const maxPort = 65535
 
-// arguments is the command line: one sub-command each.
+// arguments holds the sub-commands; the parser sets only the one that the command line names.
 type arguments struct {
-	Proxy        *roleCommand    `arg:"subcommand:proxy" help:"take clients' requests and forward them to workers"`
-	Agent        *roleCommand    `arg:"subcommand:agent" help:"keep the link to the control plane for the proxy beside it"`
-	ControlPlane *roleCommand    `arg:"subcommand:control-plane" help:"hold the control plane's state and serve its API"`
+	Proxy        *roleCommand    `arg:"subcommand:proxy" help:"accept client requests and forward them to workers"`
+	Agent        *roleCommand    `arg:"subcommand:agent" help:"connect the proxy on the same node to the control plane"`
+	ControlPlane *roleCommand    `arg:"subcommand:control-plane" help:"store the control plane state and serve its API"`
 	Check        *checkCommand   `arg:"subcommand:check" help:"check a settings file or a configuration and exit"`
 	Measure      *measureCommand `arg:"subcommand:measure" help:"measure the fleet on this machine"`
-	Demo         *demoCommand    `arg:"subcommand:demo" help:"run a whole fleet with stand-in workers on loopback and send requests through it"`
+	Demo         *demoCommand    `arg:"subcommand:demo" help:"run a complete fleet with fake workers on loopback and send requests through it"`
 }
 
 // roleCommand holds the flags of the sub-commands that run a process of the fleet.
 type roleCommand struct {
-	Settings string `arg:"--settings,env:OSPREYBEND_CONFIG" default:"/etc/ospreybend/boot.json" help:"settings file of this process (JSON)"`
-	LogLevel string `arg:"--log-level,env:OSPREYBEND_LOG_LEVEL" default:"info" help:"debug, info, warn or error"`
-	Metrics  int    `arg:"--metrics-port,env:OSPREYBEND_METRICS_PORT" default:"0" help:"port of this machine at which /metrics is served; 0: none"`
+	Settings    string `arg:"--settings,env:OSPREYBEND_CONFIG" default:"/etc/ospreybend/boot.json" help:"settings file of this process (JSON)"`
+	LogLevel    string `arg:"--log-level,env:OSPREYBEND_LOG_LEVEL" default:"info" help:"lowest level that is logged: debug, info, warn or error"`
+	MetricsPort int    `arg:"--metrics-port,env:OSPREYBEND_METRICS_PORT" default:"0" help:"TCP port that serves /metrics; 0: no such port is opened"`
 }
 
-// Description is shown by --help.
+// Description returns the text that --help shows above the options.
 func (arguments) Description() string {
-	return "inference-router runs one process of the router fleet, or checks its files."
+	return "inference-router runs one process of the router fleet, checks its files, or measures a fleet."
 }
 
-// roleRunner runs a process of the fleet until the context ends.
+// roleRunner runs a process of the fleet until the context is done.
 type roleRunner func(context.Context, bootconfig.Settings, *zap.Logger) error
 
 func main() {
@@ -64,14 +64,14 @@
 }
 
 // run parses the command line, executes the sub-command and returns the exit code.
-func run(line []string, stdout, stderr io.Writer) int {
+func run(args []string, stdout, stderr io.Writer) int {
 	var parsed arguments
 	parser, err := arg.NewParser(arg.Config{Program: "inference-router", Out: stdout}, &parsed)
 	if err != nil {
 		fmt.Fprintln(stderr, err)
 		return exitUsage
 	}
-	switch err := parser.Parse(line); {
+	switch err := parser.Parse(args); {
 	case errors.Is(err, arg.ErrHelp):
 		_ = parser.WriteHelpForSubcommand(stdout, parser.SubcommandNames()...)
 		return exitOK
@@ -103,30 +103,30 @@
 	return exitUsage
 }
 
-// runRole runs one process of the fleet until SIGTERM or SIGINT. SIGHUP is ignored here; a proxy handles it by itself.
+// runRole runs one process of the fleet until SIGTERM or SIGINT. It ignores SIGHUP; the proxy installs its own handler for it.
 func runRole(role string, command *roleCommand, run roleRunner, stderr io.Writer) int {
-	loaded, err := bootconfig.LoadWithRetry(command.Settings)
+	settings, err := bootconfig.LoadWithRetry(command.Settings)
 	if err != nil {
 		fmt.Fprintln(stderr, err)
 		return exitUsage
 	}
-	logger, err := logging.New(command.LogLevel, role, loaded.NodeName)
+	logger, err := logging.New(command.LogLevel, role, settings.NodeName)
 	if err != nil {
-		fmt.Fprintln(stderr, "log level:", err)
+		fmt.Fprintln(stderr, "--log-level:", err)
 		return exitUsage
 	}
-	if command.Metrics < 0 || command.Metrics > maxPort {
-		fmt.Fprintln(stderr, "metrics port: out of range")
+	if command.MetricsPort < 0 || command.MetricsPort > maxPort {
+		fmt.Fprintf(stderr, "--metrics-port: %d is not from 0 to %d\n", command.MetricsPort, maxPort)
 		return exitUsage
 	}
-	loaded.MetricsPort = command.Metrics
-	// The default action of these signals ends the process, so they are handled before the role starts.
+	settings.MetricsPort = command.MetricsPort
+	// By default these signals terminate the process, so they are handled before the role starts.
 	signal.Ignore(syscall.SIGHUP)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	if err := run(ctx, loaded, logger); err != nil {
+	if err := run(ctx, settings, logger); err != nil {
 		logger.Error("process failed", zap.Error(err))
-		return exitFault
+		return exitFailure
 	}
 	return exitOK
 }
--- a/cmd/inference-router/main_test.go
+++ b/cmd/inference-router/main_test.go
@@ -14,31 +14,31 @@
 	"ospreybend/internal/controlplane/server"
 )
 
-// runCommand runs the command line and returns its exit code and what it wrote.
-func runCommand(line ...string) (code int, stdout, stderr string) {
-	var written, faults bytes.Buffer
-	code = run(line, &written, &faults)
-	return code, written.String(), faults.String()
+// runCommand runs the program with the arguments and returns its exit code and output.
+func runCommand(args ...string) (code int, stdout, stderr string) {
+	var outBuffer, errBuffer bytes.Buffer
+	code = run(args, &outBuffer, &errBuffer)
+	return code, outBuffer.String(), errBuffer.String()
 }
 
 func TestRun_helpOfEachCommand(t *testing.T) {
-	for _, words := range [][]string{{}, {"proxy"}, {"agent"}, {"control-plane"}, {"check"}, {"demo"}, {"measure"}, {"measure", "scale"}, {"measure", "traffic"}, {"measure", "simulate"}} {
-		code, stdout, stderr := runCommand(append(words, "--help")...)
-		usage := strings.Join(append([]string{"Usage: inference-router"}, words...), " ")
+	for _, command := range [][]string{{}, {"proxy"}, {"agent"}, {"control-plane"}, {"check"}, {"demo"}, {"measure"}, {"measure", "scale"}, {"measure", "traffic"}, {"measure", "simulate"}} {
+		code, stdout, stderr := runCommand(append(command, "--help")...)
+		usage := strings.Join(append([]string{"Usage: inference-router"}, command...), " ")
 		if code != exitOK || !strings.Contains(stdout, usage) || stderr != "" {
-			t.Errorf("%v: exit %d, no %q in %q, errors %q", words, code, usage, stdout, stderr)
+			t.Errorf("%v --help: exit code %d, stdout %q, stderr %q; want code %d, stdout with %q and empty stderr", command, code, stdout, stderr, exitOK, usage)
 		}
 	}
 }
 
-func TestRun_usageErrorsNameTheFault(t *testing.T) {
+func TestRun_usageErrorsNameTheCause(t *testing.T) {
 	bad := filepath.Join(t.TempDir(), "bad.json")
 	if err := os.WriteFile(bad, []byte(`{"nodeName":"a","ip":"nonsense"}`), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	cases := []struct {
-		line []string
-		says string
+		args []string
+		want string
 	}{
 		{[]string{}, "Usage: inference-router"},
 		{[]string{"measure"}, "Usage: inference-router measure"},
@@ -56,85 +56,86 @@
 		{[]string{"measure", "simulate", "--schedules", "0"}, "must be positive"},
 	}
 	for _, test := range cases {
-		code, _, stderr := runCommand(test.line...)
-		if code != exitUsage || !strings.Contains(stderr, test.says) {
-			t.Errorf("%v: exit %d, no %q in %q", test.line, code, test.says, stderr)
+		code, _, stderr := runCommand(test.args...)
+		if code != exitUsage || !strings.Contains(stderr, test.want) {
+			t.Errorf("%v: exit code %d, stderr %q; want code %d and stderr with %q", test.args, code, stderr, exitUsage, test.want)
 		}
 	}
 }
 
-// validSettings are valid settings of a control plane server.
+// validSettings is a valid settings file of a control plane server.
 const validSettings = `{"nodeName":"core-a-1","role":"controlplane","ip":"127.0.0.1","zone":"a","listen":{"control":"127.0.0.1:8146"},
 "portRange":[7660,7675],"seeds":["127.0.0.1:8146"],"dataDir":"data","limits":{"memoryMb":280,"maxFds":4096}}`
 
 func TestCheckCommand(t *testing.T) {
 	directory := t.TempDir()
-	file := func(name, content string) string {
+	tempFile := func(name, content string) string {
 		path := filepath.Join(directory, name)
 		if err := os.WriteFile(path, []byte(content), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		return path
 	}
-	valid := file("settings.json", validSettings)
-	document := file("configuration.json", demoConfiguration)
+	settingsFile := tempFile("settings.json", validSettings)
+	configurationFile := tempFile("configuration.json", demoConfiguration)
 	cases := []struct {
 		name string
-		line []string
+		args []string
 		code int
-		says string
+		want string
 	}{
-		{"both valid", []string{"--settings", valid, "--configuration", document}, exitOK, "settings: valid\nconfiguration: valid\n"},
-		{"no settings", []string{"--settings", filepath.Join(directory, "none")}, exitFault, "no such file"},
-		{"bad settings", []string{"--settings", file("bad.json", strings.Replace(validSettings, "127.0.0.1\"", "x\"", 1))}, exitFault, "ip:"},
-		{"no configuration", []string{"--configuration", filepath.Join(directory, "none")}, exitFault, "no such file"},
-		{"unknown service", []string{"--configuration", file("unknown.json", strings.Replace(demoConfiguration, `"service":"store"`, `"service":"other"`, 1))},
-			exitFault, "1026 "},
-		{"no JSON", []string{"--configuration", file("none.json", "{")}, exitFault, "1020 "},
+		{"both valid", []string{"--settings", settingsFile, "--configuration", configurationFile}, exitOK, "settings: valid\nconfiguration: valid\n"},
+		{"missing settings file", []string{"--settings", filepath.Join(directory, "none")}, exitFailure, "no such file"},
+		{"invalid IP address in settings", []string{"--settings", tempFile("bad.json", strings.Replace(validSettings, "127.0.0.1\"", "x\"", 1))}, exitFailure, "ip:"},
+		{"missing configuration file", []string{"--configuration", filepath.Join(directory, "none")}, exitFailure, "no such file"},
+		{"unknown service", []string{"--configuration", tempFile("unknown.json", strings.Replace(demoConfiguration, `"service":"store"`, `"service":"other"`, 1))},
+			exitFailure, "1026 "},
+		{"configuration is not JSON", []string{"--configuration", tempFile("none.json", "{")}, exitFailure, "1020 "},
 	}
 	for _, test := range cases {
-		code, stdout, stderr := runCommand(append([]string{"check"}, test.line...)...)
-		if code != test.code || !strings.Contains(stdout+stderr, test.says) {
-			t.Errorf("%s: exit %d, no %q in %q", test.name, code, test.says, stdout+stderr)
+		code, stdout, stderr := runCommand(append([]string{"check"}, test.args...)...)
+		if code != test.code || !strings.Contains(stdout+stderr, test.want) {
+			t.Errorf("%s: exit code %d, output %q; want code %d and output with %q", test.name, code, stdout+stderr, test.code, test.want)
 		}
 	}
 }
 
-// codeTableRow is a line of a table of codes.
+// codeTableRow matches a row of a table of codes in docs/ERRORS.md, which begins with a four-digit code.
 var codeTableRow = regexp.MustCompile(`^\| \d{4} \|`)
 
-// TestCodes_errorsPageListsEveryCode holds the page against the tables of codes, both ways.
+// TestCodes_errorsPageListsEveryCode compares the rows of docs/ERRORS.md with the codes that the program defines: each must have
+// the other.
 func TestCodes_errorsPageListsEveryCode(t *testing.T) {
 	page, err := os.ReadFile(filepath.Join("..", "..", "docs", "ERRORS.md"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	var wanted []string
-	row := func(code int, name string, status int, text string) {
-		wanted = append(wanted, fmt.Sprintf("| %d | `%s` | %d | %s |", code, name, status, text))
+	var wantRows []string
+	addRow := func(code int, name string, status int, text string) {
+		wantRows = append(wantRows, fmt.Sprintf("| %d | `%s` | %d | %s |", code, name, status, text))
 	}
 	for _, entry := range configuration.Codes() {
-		row(int(entry.Code), entry.Name, entry.HTTPStatus, entry.Text)
+		addRow(int(entry.Code), entry.Name, entry.HTTPStatus, entry.Text)
 	}
 	for _, entry := range registry.Codes() {
-		row(int(entry.Code), entry.Name, entry.HTTPStatus, entry.Text)
+		addRow(int(entry.Code), entry.Name, entry.HTTPStatus, entry.Text)
 	}
 	for _, entry := range server.Codes() {
-		row(int(entry.Code), entry.Name, entry.HTTPStatus, entry.Text)
+		addRow(int(entry.Code), entry.Name, entry.HTTPStatus, entry.Text)
 	}
-	listed := map[string]bool{}
+	pageRows := map[string]bool{}
 	for line := range strings.Lines(string(page)) {
 		if codeTableRow.MatchString(line) {
-			listed[strings.TrimSpace(line)] = true
+			pageRows[strings.TrimSpace(line)] = true
 		}
 	}
-	for _, line := range wanted {
-		if !listed[line] {
-			t.Errorf("the page has no line %s", line)
+	for _, line := range wantRows {
+		if !pageRows[line] {
+			t.Errorf("docs/ERRORS.md lacks the row of a defined code: %s", line)
 		}
-		delete(listed, line)
+		delete(pageRows, line)
 	}
-	for line := range listed {
-		t.Errorf("the page lists what is no code: %s", line)
+	for line := range pageRows {
+		t.Errorf("docs/ERRORS.md has a row that matches no defined code: %s", line)
 	}
 }
--- a/cmd/inference-router/measure_simulate.go
+++ b/cmd/inference-router/measure_simulate.go
@@ -17,29 +17,30 @@
 	"ospreybend/internal/testkit/scalerun"
 )
 
-// simulateCommand holds the flags of measure simulate.
+// simulateCommand holds the flags of the measure simulate sub-command.
 type simulateCommand struct {
-	Servers       string        `arg:"--servers" default:"3,5,9" help:"counts of servers joined by commas, one part of the campaign each"`
-	Tolerate      int           `arg:"--tolerate" default:"0" help:"servers that may be lost at once; 0: as many as leave a majority"`
-	Schedules     int           `arg:"--schedules" default:"200" help:"for each count of servers, and at most for each guard that is left out"`
-	Seed          uint64        `arg:"--seed" default:"1" help:"of the first schedule; the others follow"`
-	Length        time.Duration `arg:"--length" default:"45s" help:"simulated time in which faults and orders come"`
-	Agents        int           `arg:"--agents" default:"4"`
-	Operators     int           `arg:"--operators" default:"2"`
-	Workers       int           `arg:"--workers" default:"6"`
-	SlowDisks     bool          `arg:"--slow-disks" help:"all disks are slow now and then, and all servers lose power amid it"`
-	Omit          []string      `arg:"--omit,separate" help:"guard to leave out, played until its absence is found; may be given again, each is a part of its own"`
-	General       bool          `arg:"--general" help:"with --omit: draw the general mix of events, not those that the guard is against"`
-	Schedule      string        `arg:"--schedule" help:"file with one schedule, which alone is played"`
-	Processes     int           `arg:"--processes" default:"0" help:"that play at once, each on one core; 0: half as many as there are cores"`
-	Limit         time.Duration `arg:"--limit" default:"2m" help:"real time for one schedule"`
-	Shrink        time.Duration `arg:"--shrink" default:"2m" help:"real time for shrinking each failure; 0: none is shrunk"`
-	MaxViolations int           `arg:"--most-found" default:"5" help:"violations after which a part is ended; 0: all schedules are played"`
-	Resume        string        `arg:"--resume" help:"file that records what was played: the command continues what it lacks and prints all parts"`
-	JSON          string        `arg:"--json" help:"file for the whole result"`
+	Servers       string        `arg:"--servers" default:"3,5,9" help:"numbers of servers joined by commas; each is a separate part of the campaign"`
+	Tolerate      int           `arg:"--tolerate" default:"0" help:"servers that may fail at once; 0: the most that leave a majority"`
+	Schedules     int           `arg:"--schedules" default:"200" help:"schedules to run for each number of servers; with --omit the maximum for each guard"`
+	Seed          uint64        `arg:"--seed" default:"1" help:"seed of the first schedule; the others use the seeds that follow"`
+	Length        time.Duration `arg:"--length" default:"45s" help:"simulated time during which faults and operator commands occur"`
+	Agents        int           `arg:"--agents" default:"4" help:"simulated agents"`
+	Operators     int           `arg:"--operators" default:"2" help:"simulated operators, who send commands"`
+	Workers       int           `arg:"--workers" default:"6" help:"simulated workers"`
+	SlowDisks     bool          `arg:"--slow-disks" help:"make all disks slow at times, and have all servers lose power meanwhile"`
+	Omit          []string      `arg:"--omit,separate" help:"protocol guard to disable; schedules run until one shows its absence; may be repeated, each guard is a separate part"`
+	General       bool          `arg:"--general" help:"with --omit: draw the general mix of events, not mainly those against which the guard protects"`
+	Schedule      string        `arg:"--schedule" help:"file with a schedule; only this one is run"`
+	Processes     int           `arg:"--processes" default:"0" help:"simulation processes that run in parallel, each on one core; 0: half the number of cores"`
+	Limit         time.Duration `arg:"--limit" default:"2m" help:"limit of real time for one schedule"`
+	Shrink        time.Duration `arg:"--shrink" default:"2m" help:"limit of real time for shrinking the schedule of a failure; 0: failures are not shrunk"`
+	MaxViolations int           `arg:"--most-found" default:"5" help:"violations after which a part ends; 0: all schedules are run"`
+	Resume        string        `arg:"--resume" help:"progress file: schedules recorded in it are not run again, and the results of all parts are printed"`
+	JSON          string        `arg:"--json" help:"write the whole result to this file (JSON)"`
 }
 
-// run plays the schedules and prints the violations. The exit code is exitFault if there is any, or if an omitted guard was not missed.
+// run plays the schedules and prints the violations. It returns exitFailure if there is any, or if no schedule showed the absence
+// of an omitted guard.
 func (c *simulateCommand) run(stdout, stderr io.Writer) int {
 	shapes, err := c.shapes()
 	if err != nil {
@@ -55,18 +56,18 @@
 		fmt.Fprintln(stderr, "measure simulate:", err)
 	}
 	if c.JSON != "" {
-		if failure := writeFile(c.JSON, result.WriteJSON); failure != nil {
-			fmt.Fprintln(stderr, "measure simulate:", failure)
-			return exitFault
+		if writeErr := writeFile(c.JSON, result.WriteJSON); writeErr != nil {
+			fmt.Fprintln(stderr, "measure simulate:", writeErr)
+			return exitFailure
 		}
 	}
 	if err != nil || result.Violations() > 0 || len(result.Missed()) > 0 {
-		return exitFault
+		return exitFailure
 	}
 	return exitOK
 }
 
-// play builds the simulation and plays the campaign, or the one schedule of a file.
+// play builds the simulation and plays the campaign, or only the schedule given by --schedule.
 func (c *simulateCommand) play(ctx context.Context, shapes []schedule.Shape, stdout io.Writer) ([]campaign.ShapeResult, error) {
 	var text []byte
 	if c.Schedule != "" {
@@ -87,8 +88,8 @@
 	}
 	player := campaign.Player{Binary: binary, Limit: c.Limit}
 	if c.Schedule != "" {
-		part, err := campaign.PlayText(ctx, player, string(text))
-		return []campaign.ShapeResult{part}, err
+		result, err := campaign.PlayText(ctx, player, string(text))
+		return []campaign.ShapeResult{result}, err
 	}
 	plan := campaign.Plan{Player: player, Shapes: shapes, First: c.Seed, Schedules: c.Schedules, Processes: c.processes(),
 		Shrink: c.Shrink, MaxFound: c.MaxViolations, Progress: stdout}
@@ -102,16 +103,17 @@
 	return plan.Record.Results(), err
 }
 
-// shapes returns the parts of the campaign: each number of servers, without each of the omitted guards.
+// shapes validates the flags and returns the parts of the campaign: one for each number of servers, or with --omit one for each
+// combination of a number of servers and an omitted guard.
 func (c *simulateCommand) shapes() ([]schedule.Shape, error) {
 	if c.Tolerate < 0 || c.Schedules < 1 || c.Length <= 0 || c.Agents < 1 || c.Operators < 1 || c.Workers < 0 || c.Processes < 0 || c.Limit <= 0 {
-		return nil, fmt.Errorf("schedules, length, agents, operators and limit must be positive, the other counts not negative")
+		return nil, fmt.Errorf("--schedules, --length, --agents, --operators and --limit must be positive, the other counts not negative")
 	}
 	var shapes []schedule.Shape
-	for _, word := range strings.Split(c.Servers, ",") {
-		servers, err := strconv.Atoi(word)
+	for _, field := range strings.Split(c.Servers, ",") {
+		servers, err := strconv.Atoi(field)
 		if err != nil || servers < 1 {
-			return nil, fmt.Errorf("servers must be positive numbers joined by commas, not %q", c.Servers)
+			return nil, fmt.Errorf("--servers must be positive numbers joined by commas, not %q", c.Servers)
 		}
 		shape := schedule.Shape{Servers: servers, Tolerance: c.tolerance(servers), Agents: c.Agents, Operators: c.Operators, Workers: c.Workers, Length: c.Length,
 			SlowDisks: c.SlowDisks}
@@ -119,18 +121,18 @@
 			shapes = append(shapes, shape)
 		}
 		for _, guard := range c.Omit {
-			omitting := shape
-			omitting.Omit = []string{guard}
+			withoutGuard := shape
+			withoutGuard.Omit = []string{guard}
 			if !c.General {
-				omitting = campaign.Focused(omitting)
+				withoutGuard = campaign.Focused(withoutGuard)
 			}
-			shapes = append(shapes, omitting)
+			shapes = append(shapes, withoutGuard)
 		}
 	}
 	return shapes, nil
 }
 
-// tolerance returns how many of the servers may be lost at once.
+// tolerance returns how many of the servers may fail at once, by default the most that leave a majority.
 func (c *simulateCommand) tolerance(servers int) int {
 	if c.Tolerate > 0 {
 		return c.Tolerate
@@ -138,7 +140,7 @@
 	return (servers - 1) / 2
 }
 
-// processes returns how many schedules play at once.
+// processes returns the number of simulation processes that run in parallel.
 func (c *simulateCommand) processes() int {
 	if c.Processes > 0 {
 		return c.Processes
@@ -146,7 +148,7 @@
 	return max(1, runtime.NumCPU()/2)
 }
 
-// commandLine returns the command line with the defaults that determine the schedules, for the report.
+// commandLine returns the command line for the report, with the defaults of the flags that determine the schedules filled in.
 func (c *simulateCommand) commandLine() string {
 	if c.Schedule != "" {
 		return "inference-router measure simulate --schedule " + c.Schedule
--- a/cmd/inference-router/measure_traffic.go
+++ b/cmd/inference-router/measure_traffic.go
@@ -14,36 +14,36 @@
 	"ospreybend/internal/testkit/scalerun"
 )
 
-// trafficCommand holds the flags of measure traffic.
+// trafficCommand holds the flags of the measure traffic sub-command.
 type trafficCommand struct {
-	Rates     string        `arg:"--rates" default:"3x20,6x200,12x200,12x20,24x100" help:"REQUESTSxTOKENS joined by commas: requests a second and the tokens of each, an event a token"`
-	Target    string        `arg:"--target" default:"12x207" help:"rate that the processor is carried to"`
-	Workers   int           `arg:"--workers" default:"9" help:"stand-in workers, each third of which reads prompts"`
-	TokenTime time.Duration `arg:"--token-time" default:"27ms" help:"between two tokens of a stream"`
-	Window    time.Duration `arg:"--window" default:"5s" help:"of a measurement"`
+	Rates     string        `arg:"--rates" default:"3x20,6x200,12x200,12x20,24x100" help:"rates to measure, REQUESTSxTOKENS joined by commas: requests per second and tokens of each request; each token is one event"`
+	Target    string        `arg:"--target" default:"12x207" help:"rate to which the CPU usage is extrapolated"`
+	Workers   int           `arg:"--workers" default:"9" help:"fake workers; every third one is a prefill worker"`
+	TokenTime time.Duration `arg:"--token-time" default:"27ms" help:"interval between two tokens of a stream"`
+	Window    time.Duration `arg:"--window" default:"5s" help:"duration of one measurement"`
 	Windows   int           `arg:"--windows" default:"3" help:"measurements for each rate"`
-	Limit     time.Duration `arg:"--limit" default:"5m" help:"for all rates"`
-	JSON      string        `arg:"--json" help:"file for the whole result"`
+	Limit     time.Duration `arg:"--limit" default:"5m" help:"time limit for all rates together"`
+	JSON      string        `arg:"--json" help:"write the whole result to this file (JSON)"`
 }
 
-// run measures each rate and prints the results.
+// run measures each rate and prints the results, if the rates suffice to extrapolate to the target.
 func (c *trafficCommand) run(stdout, stderr io.Writer) int {
 	rates, err := scalereport.ParseRates(c.Rates)
-	target, failure := scalereport.ParseRates(c.Target)
-	if err != nil || failure != nil || c.Workers < 1 || c.Windows < 1 || c.Window <= 0 || c.TokenTime <= 0 {
-		fmt.Fprintln(stderr, "measure traffic: workers, token-time, window and windows must be positive;", scalereport.ErrRates)
+	target, targetErr := scalereport.ParseRates(c.Target)
+	if err != nil || targetErr != nil || c.Workers < 1 || c.Windows < 1 || c.Window <= 0 || c.TokenTime <= 0 {
+		fmt.Fprintln(stderr, "measure traffic: --workers, --token-time, --window and --windows must be positive;", scalereport.ErrRates)
 		return exitUsage
 	}
 	directory, err := os.MkdirTemp("", "inference-router-traffic-")
 	if err != nil {
 		fmt.Fprintln(stderr, "measure traffic:", err)
-		return exitFault
+		return exitFailure
 	}
 	defer os.RemoveAll(directory)
 	binary, err := os.Executable()
 	if err != nil {
 		fmt.Fprintln(stderr, "measure traffic:", err)
-		return exitFault
+		return exitFailure
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
@@ -53,7 +53,7 @@
 		TokenTime: c.TokenTime, Window: c.Window, Windows: c.Windows, Limit: c.Limit, Progress: stdout})
 	if err != nil {
 		fmt.Fprintln(stderr, "measure traffic:", err)
-		return exitFault
+		return exitFailure
 	}
 	if result.Conclude() {
 		result.WriteText(stdout)
@@ -61,7 +61,7 @@
 	if c.JSON != "" {
 		if err := writeFile(c.JSON, result.WriteJSON); err != nil {
 			fmt.Fprintln(stderr, "measure traffic:", err)
-			return exitFault
+			return exitFailure
 		}
 	}
 	return exitOK
