--- a/internal/testkit/controlplanesim/campaign/build.go
+++ b/internal/testkit/controlplanesim/campaign/build.go
@@ -9,7 +9,7 @@
 	"strings"
 )
 
-// Errors of building the simulation.
+// Errors returned by Build.
 var (
 	ErrToolchain = errors.New("the Go toolchain is needed to build the simulation's test binary, and `go` is not found")
 	ErrSources   = errors.New("the sources are needed to build the simulation's test binary: run the command inside the repository")
@@ -21,7 +21,7 @@
 	binaryName     = "controlsim.test"
 )
 
-// Build builds the simulation's test binary into the directory, with the module that holds the working directory.
+// Build builds the simulation's test binary into the directory. The working directory must be within this module's sources.
 func Build(ctx context.Context, directory string) (binary string, err error) {
 	if _, err := exec.LookPath("go"); err != nil {
 		return "", ErrToolchain
@@ -39,7 +39,7 @@
 	return binary, nil
 }
 
-// moduleRoot is the folder of this module's sources.
+// moduleRoot returns the root directory of this module's sources.
 func moduleRoot(ctx context.Context) (string, error) {
 	output, err := exec.CommandContext(ctx, "go", "list", "-m", "-f", "{{.Path}} {{.Dir}}").Output()
 	if err != nil {
--- a/internal/testkit/controlplanesim/campaign/campaign.go
+++ b/internal/testkit/controlplanesim/campaign/campaign.go
@@ -12,22 +12,22 @@
 	"ospreybend/internal/testkit/controlplanesim/schedule"
 )
 
-// Plan describes a campaign: many drawn schedules, played by several processes.
+// Plan describes a campaign: many randomly generated schedules, played by several processes.
 type Plan struct {
 	Player    Player
-	Shapes    []schedule.Shape // each plays the same seeds; one that omits guards is played until a schedule fails
-	First     uint64           // seed
+	Shapes    []schedule.Shape // all use the same seeds; a shape that omits guards is played until a schedule fails
+	First     uint64           // first seed
 	Schedules int              // for each shape
 	Processes int
-	Shrink    time.Duration // for shrinking each failure; 0: none is shrunk
-	MaxFound  int           // failures after which a shape is not played further; 0: all schedules are played
+	Shrink    time.Duration // time limit for shrinking each failure; 0: failures are not shrunk
+	MaxFound  int           // number of failures after which a shape is abandoned; 0: all schedules are played
 	Progress  io.Writer
-	Record    *Progress // of a campaign that is played in parts; nil: it is played in one
+	Record    *Progress // for a campaign that can be resumed; nil: none
 }
 
 const (
-	chunkSeeds    = 10              // seeds that a process is given at a time
-	progressEvery = 5 * time.Second // between two lines of progress
+	seedsPerChunk    = 10              // seeds in one request to a process
+	progressInterval = 5 * time.Second // between two progress lines
 )
 
 // Play plays the campaign's schedules, one shape after the other.
@@ -45,13 +45,13 @@
 
 // playShape plays the schedules of one shape in several processes.
 func (p Plan) playShape(ctx context.Context, shape schedule.Shape) (ShapeResult, error) {
-	most := p.MaxFound
+	maxFailures := p.MaxFound
 	if len(shape.Omit) > 0 {
-		most = 1
+		maxFailures = 1
 	}
-	tally := newTally(shape, p.First, most, p.Progress)
-	player := p.player(shape)
-	err := p.distribute(ctx, tally, p.recorded(shape, player))
+	tally := newTally(shape, p.First, maxFailures, p.Progress)
+	player := p.playFuncFor(shape)
+	err := p.distribute(ctx, tally, p.withCheckpoint(shape, player))
 	part := tally.result()
 	if len(shape.Omit) > 0 && len(part.Failures) > 1 {
 		part.Failures = part.Failures[:1]
@@ -62,8 +62,8 @@
 	return part, err
 }
 
-// recorded has play record each chunk that was played completely, with the real time that it took.
-func (p Plan) recorded(shape schedule.Shape, play playFunc) playFunc {
+// withCheckpoint wraps play to record each completely played chunk, with the real time that it took.
+func (p Plan) withCheckpoint(shape schedule.Shape, play playFunc) playFunc {
 	if p.Record == nil {
 		return play
 	}
@@ -78,11 +78,12 @@
 	}
 }
 
-// playFunc plays a request and hands over a line for each schedule that ended.
+// playFunc plays a request and calls ended with a line for each schedule that has ended.
 type playFunc func(ctx context.Context, request Request, ended func(Line)) error
 
-// player plays the shape's requests. For a shape that omits guards, only findings count that do not occur with all guards.
-func (p Plan) player(shape schedule.Shape) playFunc {
+// playFuncFor returns the function that plays the shape's requests. For a shape that omits guards, it drops the findings of
+// seeds that fail with all guards enabled too.
+func (p Plan) playFuncFor(shape schedule.Shape) playFunc {
 	if len(shape.Omit) == 0 {
 		return p.Player.Play
 	}
@@ -109,7 +110,7 @@
 	return err != nil || broken
 }
 
-// distribute sends chunks of seeds to the processes until all are played or enough failures are found.
+// distribute plays chunks of seeds in several processes until all are played or the limit of failures is reached.
 func (p Plan) distribute(ctx context.Context, tally *tally, play playFunc) error {
 	chunks := make(chan Request)
 	failed := make(chan error, p.Processes)
@@ -139,8 +140,8 @@
 }
 
 func (p Plan) sendChunks(ctx context.Context, tally *tally, chunks chan<- Request, failed <-chan error) error {
-	for played := 0; played < p.Schedules && !tally.enough(); played += chunkSeeds {
-		request := Request{Shape: tally.shape, First: p.First + uint64(played), Count: min(chunkSeeds, p.Schedules-played)}
+	for played := 0; played < p.Schedules && !tally.reachedLimit(); played += seedsPerChunk {
+		request := Request{Shape: tally.shape, First: p.First + uint64(played), Count: min(seedsPerChunk, p.Schedules-played)}
 		if p.Record.has(tally.shape, request.First) {
 			continue
 		}
@@ -155,7 +156,7 @@
 	return nil
 }
 
-// shrink reduces the failure's schedule as long as the same check fails.
+// shrink reduces the failure's schedule while one of the same checks still fails, within the time limit.
 func (p Plan) shrink(ctx context.Context, shape schedule.Shape, failure *Failure) {
 	drawn := schedule.Draw(failure.Seed, shape)
 	failure.Schedule = drawn.Format()
@@ -183,7 +184,7 @@
 	return err == nil && broken
 }
 
-// PlayText plays one schedule.
+// PlayText plays one schedule, given in its text form.
 func PlayText(ctx context.Context, player Player, text string) (ShapeResult, error) {
 	parsed, err := schedule.Parse(text)
 	if err != nil {
@@ -198,26 +199,26 @@
 	return part, err
 }
 
-// tally counts the results that the processes report.
+// tally aggregates the results that the processes report for one shape.
 type tally struct {
-	shape    schedule.Shape
-	first    uint64
-	maxFound int
-	progress io.Writer
-	begun    time.Time
+	shape       schedule.Shape
+	first       uint64
+	maxFailures int
+	progress    io.Writer
+	begun       time.Time
 
 	mutex    sync.Mutex
 	reported time.Time
 	found    ShapeResult
 }
 
-func newTally(shape schedule.Shape, first uint64, most int, progress io.Writer) *tally {
+func newTally(shape schedule.Shape, first uint64, maxFailures int, progress io.Writer) *tally {
 	now := time.Now()
-	return &tally{shape: shape, first: first, maxFound: most, progress: progress, begun: now, reported: now,
+	return &tally{shape: shape, first: first, maxFailures: maxFailures, progress: progress, begun: now, reported: now,
 		found: newShapeResult(shape)}
 }
 
-// add counts one schedule.
+// add adds the result of one schedule and writes progress lines.
 func (t *tally) add(line Line) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -225,14 +226,14 @@
 	if len(line.Violations) > 0 {
 		fmt.Fprintf(t.progress, "%s: seed %d: %s\n", t.name(), line.Seed, strings.SplitN(line.Violations[0].Text, "\n", 2)[0])
 	}
-	if now := time.Now(); now.Sub(t.reported) >= progressEvery {
+	if now := time.Now(); now.Sub(t.reported) >= progressInterval {
 		t.reported = now
 		rate := float64(t.found.Played) / now.Sub(t.begun).Seconds()
 		fmt.Fprintf(t.progress, "%s: %d schedules, %.1f a second, %d with violations\n", t.name(), t.found.Played, rate, len(t.found.Failures))
 	}
 }
 
-// name names the shape in lines of progress.
+// name returns the name of the shape in progress lines.
 func (t *tally) name() string {
 	name := fmt.Sprintf("%d servers", t.shape.Servers)
 	if len(t.shape.Omit) > 0 {
@@ -241,14 +242,14 @@
 	return name
 }
 
-// enough reports whether the shape has failed often enough.
-func (t *tally) enough() bool {
+// reachedLimit reports whether the limit of failures is reached.
+func (t *tally) reachedLimit() bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	return t.maxFound > 0 && len(t.found.Failures) >= t.maxFound
+	return t.maxFailures > 0 && len(t.found.Failures) >= t.maxFailures
 }
 
-// result is what was counted, its failures ordered by their seeds.
+// result returns the aggregated result, with the failures ordered by seed.
 func (t *tally) result() ShapeResult {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/internal/testkit/controlplanesim/campaign/campaign_test.go
+++ b/internal/testkit/controlplanesim/campaign/campaign_test.go
@@ -19,7 +19,7 @@
 
 var shape = schedule.Shape{Servers: 3, Tolerance: 1, Agents: 2, Operators: 2, Workers: 3, Length: 40 * time.Second}
 
-// Seeds at which the scripted simulation misbehaves.
+// Seeds for which the simulation that TestPlayRequest fakes behaves specially.
 const (
 	seedDies    = 17
 	seedFails   = 31
@@ -29,11 +29,11 @@
 	seedDelays  = 90 // the first one with delays
 )
 
-// TestPlayRequest is the fake simulation: the campaign runs this test binary, too, with a request.
+// TestPlayRequest fakes the simulation: the campaign runs this test binary in place of the simulation's.
 func TestPlayRequest(t *testing.T) {
 	request, given, err := campaign.Requested()
 	if !given {
-		t.Skip("is run by the campaign")
+		t.Skip("run only by the campaign in a process of its own")
 	}
 	if err != nil {
 		t.Fatal(err)
@@ -103,17 +103,17 @@
 		t.Fatalf("found %s, want %s", got, want)
 	}
 	if text := part.Failures[0].Violations[0].Text; !strings.Contains(text, "scripted end") {
-		t.Errorf("how the process died is not reported: %q", text)
+		t.Errorf("process died with panic \"scripted end\": got text %q, want it to contain the panic", text)
 	}
 	shrunk, err := schedule.Parse(part.Failures[1].Shrunk)
 	if err != nil || len(shrunk.Events) != 1 || shrunk.Events[0].Kind != schedule.Worker {
-		t.Errorf("not shrunk to the worker (%v):\n%s", err, part.Failures[1].Shrunk)
+		t.Errorf("shrunk schedule: want exactly one worker event, got (error %v):\n%s", err, part.Failures[1].Shrunk)
 	}
 	if part.FoundAfter != 8 {
 		t.Errorf("found after %d schedules, want 8", part.FoundAfter)
 	}
 	if !strings.Contains(progress.String(), "seed 31: a worker") {
-		t.Errorf("no progress on the failure: %q", progress.String())
+		t.Errorf("got progress %q, want it to contain %q", progress.String(), "seed 31: a worker")
 	}
 }
 
@@ -124,12 +124,12 @@
 		t.Fatal(err)
 	}
 	if part := parts[0]; part.Played != 6 || len(part.Failures) != 1 || part.Failures[0].Seed != seedEndless || part.Failures[0].Checks()[0] != campaign.CheckEndless {
-		t.Errorf("played %d, found %v", part.Played, part.Failures)
+		t.Errorf("played %d schedules with failures %v, want 6 with a time-out of seed %d alone", part.Played, part.Failures, seedEndless)
 	}
 }
 
-// TestPlay_stopsOnceAnOmittedGuardIsFound has seeds that break something: 102 with all guards enabled too, which shows
-// nothing about the omitted one, and 104 only without it.
+// TestPlay_stopsOnceAnOmittedGuardIsFound plays two failing seeds: 102 fails also with all guards enabled, so it is no
+// evidence for the omitted guard, and 104 fails only without it.
 func TestPlay_stopsOnceAnOmittedGuardIsFound(t *testing.T) {
 	without := shape
 	without.Omit = []string{"guard"}
@@ -139,11 +139,11 @@
 		t.Fatal(err)
 	}
 	if part := parts[0]; part.FoundAfter != 5 || len(part.Failures) != 1 || part.Played > 100 {
-		t.Errorf("found after %d schedules, %d failures, %d played", part.FoundAfter, len(part.Failures), part.Played)
+		t.Errorf("found after %d schedules, %d failures, %d played; want 5, 1, at most 100", part.FoundAfter, len(part.Failures), part.Played)
 	}
 	result := campaign.Result{Parts: parts}
 	if result.Violations() != 0 || len(result.Missed()) != 0 {
-		t.Errorf("an absent guard counts as %d violations; missed %v", result.Violations(), result.Missed())
+		t.Errorf("shape without a guard: got %d violations and missed guards %v, want none of either", result.Violations(), result.Missed())
 	}
 }
 
@@ -151,18 +151,18 @@
 	drawn := schedule.Draw(seedFails, shape)
 	part, err := campaign.PlayText(context.Background(), player(t), drawn.Format())
 	if err != nil || part.Played != 1 || len(part.Failures) != 1 {
-		t.Fatalf("played %d, %d failures, %v", part.Played, len(part.Failures), err)
+		t.Fatalf("played %d, %d failures, error %v; want 1, 1, no error", part.Played, len(part.Failures), err)
 	}
 	if _, err := campaign.PlayText(context.Background(), player(t), "no schedule"); !errors.Is(err, schedule.ErrSyntax) {
-		t.Errorf("a text that is no schedule: %v", err)
+		t.Errorf("play invalid schedule text: got error %v, want %v", err, schedule.ErrSyntax)
 	}
 }
 
 func TestPlay_processWithoutResultReportsItsOutput(t *testing.T) {
 	failing := campaign.Player{Binary: "/bin/false", Limit: time.Second}
-	err := failing.Play(context.Background(), campaign.Request{Shape: shape, Count: 3}, func(campaign.Line) { t.Error("a line of nobody") })
+	err := failing.Play(context.Background(), campaign.Request{Shape: shape, Count: 3}, func(campaign.Line) { t.Error("got a line from a process that wrote none") })
 	if !errors.Is(err, campaign.ErrPlayedNothing) {
-		t.Errorf("got %v", err)
+		t.Errorf("play with a process that writes nothing: got error %v, want %v", err, campaign.ErrPlayedNothing)
 	}
 }
 
@@ -173,19 +173,19 @@
 		{Servers: 3, Played: 20, Omit: []string{"vote-log"}, FoundAfter: 12, Failures: []campaign.Failure{{Seed: 12, Violations: []campaign.Finding{{Check: "one-body", Text: "two"}}, Schedule: "schedule seed=12\n"}}},
 	}}
 	if missed := result.Missed(); len(missed) != 1 || missed[0] != "vote-once" {
-		t.Errorf("missed are %v", missed)
+		t.Errorf("got missed guards %v, want [vote-once]", missed)
 	}
 	var text bytes.Buffer
 	result.WriteText(&text)
 	for _, want := range []string{"| 3 | vote-log | 20 | 1 | 12 |", "one-body: two", "schedule seed=12"} {
 		if !strings.Contains(text.String(), want) {
-			t.Errorf("no %q in\n%s", want, text.String())
+			t.Errorf("text result lacks %q, got:\n%s", want, text.String())
 		}
 	}
 }
 
-// TestPlay_resumesWhereItEnded ends a recorded campaign after its first part: the next run plays the rest alone, and the results
-// cover both, each schedule once. The first part has no delays, so its file has none either.
+// TestPlay_resumesWhereItEnded resumes a recorded campaign after its first part: the next run plays only the rest, and the
+// results contain each schedule of both parts once. The first part has no delays, so its file contains none either.
 func TestPlay_resumesWhereItEnded(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "progress.json")
 	play := func(schedules int) []campaign.ShapeResult {
@@ -200,21 +200,22 @@
 		return record.Results()
 	}
 	if first := play(20); len(first) != 1 || first[0].Played != 20 || first[0].First != 70 {
-		t.Fatalf("first part: %+v", first)
+		t.Fatalf("first part: got %+v, want 20 schedules from seed 70", first)
 	}
 	both := play(50)
 	if len(both) != 1 || both[0].Played != 50 || len(both[0].Failures) != 1 || both[0].Failures[0].Seed != seedAlways {
-		t.Fatalf("both parts: %+v", both)
+		t.Fatalf("both parts: got %+v, want 50 schedules with a failure of seed %d alone", both, seedAlways)
 	}
 	if delays := both[0].Delays; delays[5] != 30 {
-		t.Errorf("delays of the second part: %v, want 30", delays)
+		t.Errorf("delays after the second part: got %v, want 30 in bin 5", delays)
 	}
 	if again := play(50); again[0].Played != 50 || again[0].Counts != both[0].Counts {
-		t.Errorf("a complete campaign was played again: %+v", again)
+		t.Errorf("resume a complete campaign: got %+v, want the result unchanged", again)
 	}
 }
 
-// TestPlay_terminatedProcessIsNoFinding terminates a simulation's process from outside: its chunk is not recorded, and the campaign ends.
+// TestPlay_terminatedProcessIsNoFinding terminates a simulation process with SIGTERM: the campaign ends with an error, and the
+// chunk is not recorded.
 func TestPlay_terminatedProcessIsNoFinding(t *testing.T) {
 	record, err := campaign.LoadProgress(filepath.Join(t.TempDir(), "progress.json"))
 	if err != nil {
@@ -223,11 +224,11 @@
 	_, err = campaign.Play(context.Background(), campaign.Plan{Player: player(t), Shapes: []schedule.Shape{shape}, First: seedStopped,
 		Schedules: 1, Processes: 1, Progress: io.Discard, Record: record})
 	if !errors.Is(err, campaign.ErrTerminated) {
-		t.Errorf("error %v, want %v", err, campaign.ErrTerminated)
+		t.Errorf("got error %v, want %v", err, campaign.ErrTerminated)
 	}
 	for _, part := range record.Results() {
 		if part.Played > 0 {
-			t.Errorf("recorded %+v", part)
+			t.Errorf("got recorded result %+v, want no schedule recorded", part)
 		}
 	}
 }
@@ -237,14 +238,14 @@
 	for i := range 100 {
 		delays.Add(time.Duration(i) * 10 * time.Millisecond)
 	}
-	delays.Add(time.Hour) // beyond what is told apart
+	delays.Add(time.Hour) // counts as the maximum delay
 	if got := delays.Percentile(50); got < 490*time.Millisecond || got > 520*time.Millisecond {
-		t.Errorf("median %v", got)
+		t.Errorf("median: got %v, want 490ms to 520ms", got)
 	}
 	if got := delays.Percentile(100); got < time.Minute || got > time.Minute+time.Second {
-		t.Errorf("maximum %v", got)
+		t.Errorf("maximum: got %v, want 1m0s to 1m1s", got)
 	}
 	if got := (campaign.Delays{}).Percentile(99); got != 0 {
-		t.Errorf("without delays: %v", got)
+		t.Errorf("99th percentile without delays: got %v, want 0", got)
 	}
 }
--- a/internal/testkit/controlplanesim/campaign/delays.go
+++ b/internal/testkit/controlplanesim/campaign/delays.go
@@ -14,10 +14,10 @@
 	noDelaysPlaceholder = "-"
 )
 
-// Delays count delays by bins of delayBin.
+// Delays is a histogram of delays, by bins of delayBin.
 type Delays map[int]int
 
-// Add counts one delay.
+// Add counts one delay; delays above maxDelay count as maxDelay.
 func (d Delays) Add(delay time.Duration) { d[int(min(delay, maxDelay)/delayBin)]++ }
 
 // merge adds the counts of another schedule.
@@ -27,20 +27,20 @@
 	}
 }
 
-// Percentile returns a percentile of the delays, rounded up to the bin's end; 0 without any.
+// Percentile returns a percentile of the delays, rounded up to the end of its bin; 0 if there are no delays.
 func (d Delays) Percentile(percent float64) time.Duration {
 	if len(d) == 0 {
 		return 0
 	}
 	histogram := hdrhistogram.New(1, int64(maxDelay/delayBin)+1, significantDigits)
 	for bin, count := range d {
-		_ = histogram.RecordValues(int64(bin)+1, int64(count)) // within the range by Add
+		_ = histogram.RecordValues(int64(bin)+1, int64(count)) // Add keeps bins within the histogram's range
 	}
 	return time.Duration(histogram.ValueAtQuantile(percent)) * delayBin
 }
 
-// text is the percentile that is reported, with how many delays there are.
-func (d Delays) text() string {
+// formatPercentile returns the reported percentile as text, or a placeholder if there are no delays.
+func (d Delays) formatPercentile() string {
 	if len(d) == 0 {
 		return noDelaysPlaceholder
 	}
--- a/internal/testkit/controlplanesim/campaign/doc.go
+++ b/internal/testkit/controlplanesim/campaign/doc.go
@@ -1,4 +1,4 @@
-// Package campaign plays many schedules of the simulated control plane. The simulation runs in Go's test runner (its
-// fake clock exists nowhere else), so its test binary is built once and played in one process per core, each given a
-// range of seeds. Lines on the processes' standard output tell how each schedule ended.
+// Package campaign plays many schedules of the simulated control plane. The simulation needs Go's test runner, because the
+// fake clock is available only there. Its test binary is built once and run in several processes, each of which gets
+// ranges of seeds and uses one core. The processes report the result of each schedule in lines on standard output.
 package campaign
--- a/internal/testkit/controlplanesim/campaign/focus.go
+++ b/internal/testkit/controlplanesim/campaign/focus.go
@@ -2,13 +2,13 @@
 
 import "ospreybend/internal/testkit/controlplanesim/schedule"
 
-// focus is what the schedules of a guard's campaign consist of for the most part.
+// focus selects the events that most schedules of a guard's campaign consist of.
 type focus struct {
 	families  []schedule.Family
 	slowDisks bool
 }
 
-// Families that bring about what several guards are against.
+// Families that cause the situations which several guards protect against.
 var (
 	electionLosses = []schedule.Family{schedule.FamilyElection, schedule.FamilySync, schedule.FamilyAcknowledgement}
 	leaderChanges  = []schedule.Family{schedule.FamilyOldLeader, schedule.FamilyElection, schedule.FamilyBurst}
@@ -16,7 +16,8 @@
 	repeatedOrders = []schedule.Family{schedule.FamilyRace, schedule.FamilyBurst, schedule.FamilyReplies}
 )
 
-// focusByGuard biases the drawing by what a guard watches. Guards that are not listed are found by the general mix.
+// focusByGuard biases the random schedules towards the situations that a guard protects against. For guards that are not
+// listed, the general mix of events suffices.
 var focusByGuard = map[string]focus{
 	"agreement.vote-once":          {families: electionLosses},
 	"agreement.vote-log":           {families: electionLosses, slowDisks: true},
@@ -54,7 +55,7 @@
 	"agent.leave-stale":        {families: []schedule.Family{schedule.FamilyCut, schedule.FamilyOldLeader}},
 }
 
-// Focused returns the shape for the campaign of the guards that it omits.
+// Focused returns the shape with the focus of the guards that it omits.
 func Focused(shape schedule.Shape) schedule.Shape {
 	for _, guard := range shape.Omit {
 		wanted := focusByGuard[guard]
--- a/internal/testkit/controlplanesim/campaign/player.go
+++ b/internal/testkit/controlplanesim/campaign/player.go
@@ -14,40 +14,41 @@
 	"time"
 )
 
-// Checks that the campaign itself adds.
+// Names of checks that the campaign itself adds.
 const (
-	CheckDied    = "died"    // the process ended while it played the schedule
+	CheckDied    = "died"    // the process ended during the schedule
 	CheckEndless = "endless" // the schedule did not end within the limit
 )
 
 var (
-	// ErrPlayedNothing is returned when the simulation's process ends without having begun a schedule.
+	// ErrPlayedNothing is returned when the simulation's process ends without starting a schedule.
 	ErrPlayedNothing = errors.New("the simulation played nothing")
-	// ErrTerminated is returned when a simulation's process was terminated from outside, together with the campaign as a rule.
+	// ErrTerminated is returned when a simulation process was terminated by a signal from outside, usually together with the
+	// campaign itself.
 	ErrTerminated = errors.New("a simulation process was terminated")
 )
 
 const (
-	longestLine       = 4 << 20
-	maxRetainedOutput = 40               // lines of a process that died
-	waitDelay         = 10 * time.Second // for the output of a process that was killed
+	maxLineBytes      = 4 << 20
+	maxRetainedOutput = 40               // lines of output kept for the report
+	outputTimeout     = 10 * time.Second // to read the output of a process after SIGQUIT
 )
 
 // Player plays requests with the simulation's test binary.
 type Player struct {
 	Binary string
-	Limit  time.Duration // of real time for one schedule
+	Limit  time.Duration // real time allowed for one schedule
 }
 
-// outcome is what one process did.
+// outcome is the result of one process.
 type outcome struct {
-	began   *Line // the schedule under way, if the process ended during one
-	tail    []string
-	endless bool
+	unfinished *Line // the schedule during which the process ended; nil if none
+	output     []string
+	timedOut   bool
 }
 
-// Play plays the request and hands over a line for each schedule that ended. A schedule during which the process dies has
-// a finding, and another process continues with the rest of the request.
+// Play plays the request and calls ended with a line for each schedule that has ended. A schedule during which the process
+// dies gets a finding, and another process continues with the rest of the request.
 func (p Player) Play(ctx context.Context, request Request, ended func(Line)) error {
 	for {
 		played := 0
@@ -55,7 +56,7 @@
 		if err != nil || ctx.Err() != nil {
 			return firstError(ctx.Err(), err)
 		}
-		if outcome.began != nil {
+		if outcome.unfinished != nil {
 			ended(outcome.finding())
 			played++
 		}
@@ -63,7 +64,7 @@
 			return nil
 		}
 		if played == 0 {
-			return fmt.Errorf("%w:\n%s", ErrPlayedNothing, strings.Join(outcome.tail, "\n"))
+			return fmt.Errorf("%w:\n%s", ErrPlayedNothing, strings.Join(outcome.output, "\n"))
 		}
 		request.First += uint64(played)
 		request.Count -= played
@@ -79,18 +80,18 @@
 	return nil
 }
 
-// finding is the line of a schedule that the process did not bring to an end.
+// finding returns the line for the schedule during which the process ended.
 func (o outcome) finding() Line {
-	line := Line{Seed: o.began.Seed}
+	line := Line{Seed: o.unfinished.Seed}
 	check := CheckDied
-	if o.endless {
+	if o.timedOut {
 		check = CheckEndless
 	}
-	line.Violations = []Finding{{Check: check, Text: strings.Join(o.tail, "\n")}}
+	line.Violations = []Finding{{Check: check, Text: strings.Join(o.output, "\n")}}
 	return line
 }
 
-// run starts one process with the request and reads its lines until it ends.
+// run starts one process for the request and reads its output until it ends.
 func (p Player) run(ctx context.Context, request Request, ended func(Line)) (outcome, error) {
 	text, err := json.Marshal(request)
 	if err != nil {
@@ -100,8 +101,8 @@
 	defer cancel()
 	command := exec.CommandContext(ctx, p.Binary, "-test.run=^"+Test+"$", "-test.timeout=0")
 	command.Env = append(os.Environ(), Variable+"="+string(text), "GOMAXPROCS=1")
-	command.Cancel = func() error { return command.Process.Signal(syscall.SIGQUIT) } // it then prints its goroutines
-	command.WaitDelay = waitDelay
+	command.Cancel = func() error { return command.Process.Signal(syscall.SIGQUIT) } // makes the Go runtime print all goroutines
+	command.WaitDelay = outputTimeout
 	output, err := command.StdoutPipe()
 	if err != nil {
 		return outcome{}, err
@@ -115,16 +116,16 @@
 	if terminated(failure) {
 		return outcome{}, ErrTerminated
 	}
-	if failure == nil && result.began != nil {
-		failure = fmt.Errorf("the process ended without an error during schedule %d", result.began.Seed)
+	if failure == nil && result.unfinished != nil {
+		failure = fmt.Errorf("the process exited with status 0 during the schedule of seed %d", result.unfinished.Seed)
 	}
 	if failure != nil {
-		result.tail = append(result.tail, failure.Error())
+		result.output = append(result.output, failure.Error())
 	}
 	return result, nil
 }
 
-// terminated reports whether a process was ended by the signals with which a user or a supervisor ends programs.
+// terminated reports whether a process was ended by SIGTERM or SIGINT, with which users and supervisors stop programs.
 func terminated(failure error) bool {
 	var exit *exec.ExitError
 	if !errors.As(failure, &exit) {
@@ -134,38 +135,38 @@
 	return known && status.Signaled() && (status.Signal() == syscall.SIGTERM || status.Signal() == syscall.SIGINT)
 }
 
-// follow reads a process's output. It ends the process when a schedule takes longer than the limit.
+// follow reads a process's output. It calls end when a schedule takes longer than the limit.
 func (p Player) follow(output io.Reader, end func(), ended func(Line)) outcome {
 	var result outcome
 	overdue := make(chan struct{})
 	alarm := time.AfterFunc(p.Limit, func() { close(overdue); end() })
 	defer alarm.Stop()
 	lines := bufio.NewScanner(output)
-	lines.Buffer(nil, longestLine)
+	lines.Buffer(nil, maxLineBytes)
 	for lines.Scan() {
-		line, ours := parseLine(lines.Text())
+		line, isResult := parseLine(lines.Text())
 		switch {
-		case !ours:
-			result.keep(lines.Text())
+		case !isResult:
+			result.retain(lines.Text())
 		case line.Begins:
 			alarm.Reset(p.Limit)
-			result.began, result.tail = &line, nil
+			result.unfinished, result.output = &line, nil
 		default:
-			result.began = nil
+			result.unfinished = nil
 			ended(line)
 		}
 	}
 	select {
 	case <-overdue:
-		result.endless = true
+		result.timedOut = true
 	default:
 	}
 	return result
 }
 
-// keep keeps the first lines of a process, among which is why it died, and goes without the rest.
-func (o *outcome) keep(line string) {
-	if len(o.tail) < maxRetainedOutput {
-		o.tail = append(o.tail, line)
+// retain keeps the first lines of output, which contain the reason why a process died, and drops the rest.
+func (o *outcome) retain(line string) {
+	if len(o.output) < maxRetainedOutput {
+		o.output = append(o.output, line)
 	}
 }
--- a/internal/testkit/controlplanesim/campaign/progress.go
+++ b/internal/testkit/controlplanesim/campaign/progress.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/json"
 	"errors"
+	"fmt"
 	"io/fs"
 	"os"
 	"path/filepath"
@@ -13,22 +14,22 @@
 	"ospreybend/internal/testkit/controlplanesim/schedule"
 )
 
-// Progress is what a campaign that is played in parts has played so far. It is kept in a file after each chunk of seeds, so that a
-// campaign which was ended continues with what it lacks.
+// Progress is the stored state of a campaign that can be resumed. It is written to a file after each chunk of seeds, so that an
+// interrupted campaign continues with the missing chunks.
 type Progress struct {
 	path  string
 	mutex sync.Mutex
-	parts []progressPart
+	parts []shapeCheckpoint
 }
 
-// progressPart is what was played of one shape.
-type progressPart struct {
+// shapeCheckpoint is the stored state of one shape.
+type shapeCheckpoint struct {
 	Shape  schedule.Shape `json:"shape"`
-	Chunks []uint64       `json:"chunks"` // first seeds of the chunks that were played, ascending
+	Chunks []uint64       `json:"chunks"` // first seeds of the completed chunks, ascending
 	Result ShapeResult    `json:"result"`
 }
 
-// LoadProgress reads a campaign's file; without one, nothing was played yet.
+// LoadProgress reads a campaign's file. If there is none, the campaign starts from the beginning.
 func LoadProgress(path string) (*Progress, error) {
 	progress := &Progress{path: path}
 	text, err := os.ReadFile(path)
@@ -39,26 +40,26 @@
 		return nil, err
 	}
 	if err := json.Unmarshal(text, &progress.parts); err != nil {
-		return nil, err
+		return nil, fmt.Errorf("parse the campaign's progress file %s: %w", path, err)
 	}
 	for i := range progress.parts {
-		progress.parts[i].Result.createMissingDelays()
+		progress.parts[i].Result.initializeDelays()
 	}
 	return progress, nil
 }
 
-// part returns the part of a shape. The caller holds the mutex.
-func (p *Progress) part(shape schedule.Shape) *progressPart {
+// part returns the state of a shape, which it adds if necessary. The caller holds the mutex.
+func (p *Progress) part(shape schedule.Shape) *shapeCheckpoint {
 	for i := range p.parts {
 		if sameShape(p.parts[i].Shape, shape) {
 			return &p.parts[i]
 		}
 	}
-	p.parts = append(p.parts, progressPart{Shape: shape, Result: newShapeResult(shape)})
+	p.parts = append(p.parts, shapeCheckpoint{Shape: shape, Result: newShapeResult(shape)})
 	return &p.parts[len(p.parts)-1]
 }
 
-// sameShape reports whether two shapes draw the same schedules.
+// sameShape reports whether two shapes generate the same schedules.
 func sameShape(one, other schedule.Shape) bool {
 	sameLists := slices.Equal(one.Omit, other.Omit) && slices.Equal(one.Focus, other.Focus)
 	one.Omit, other.Omit, one.Focus, other.Focus = nil, nil, nil, nil
@@ -66,7 +67,7 @@
 		one.Operators == other.Operators && one.Workers == other.Workers && one.Length == other.Length && one.SlowDisks == other.SlowDisks
 }
 
-// has reports whether a chunk of a shape was played.
+// has reports whether a chunk of a shape is recorded as played.
 func (p *Progress) has(shape schedule.Shape, first uint64) bool {
 	if p == nil {
 		return false
@@ -77,7 +78,7 @@
 	return found
 }
 
-// add records a chunk and what its schedules showed, and writes the file.
+// add records a chunk and the results of its schedules, and writes the file.
 func (p *Progress) add(shape schedule.Shape, first uint64, lines []Line, seconds float64) error {
 	if p == nil {
 		return nil
@@ -98,7 +99,7 @@
 	return p.write()
 }
 
-// write replaces the file as a whole. The caller holds the mutex.
+// write replaces the file atomically. The caller holds the mutex.
 func (p *Progress) write() error {
 	text, err := json.Marshal(p.parts)
 	if err != nil {
@@ -111,7 +112,7 @@
 	return os.Rename(next, filepath.Clean(p.path))
 }
 
-// Results are what all parts of the campaign have shown so far, by what was played.
+// Results returns the results so far, one for each shape, ordered by servers and omitted guards.
 func (p *Progress) Results() []ShapeResult {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/internal/testkit/controlplanesim/campaign/protocol.go
+++ b/internal/testkit/controlplanesim/campaign/protocol.go
@@ -10,16 +10,16 @@
 	"ospreybend/internal/testkit/controlplanesim/schedule"
 )
 
-// Test is the test that plays a request, and Variable the environment variable that hands the request over.
+// Test is the name of the test that plays a request, and Variable the environment variable that contains the request.
 const (
 	Test     = "TestPlayRequest"
 	Variable = "OSPREYBEND_SIMULATE"
 )
 
-// linePrefix begins each line for the campaign; the test runner writes others.
+// linePrefix marks the lines for the campaign; the test runner writes other lines.
 const linePrefix = "simulate: "
 
-// Request is what one process is to play: the text of one schedule, or drawn ones from First on.
+// Request selects the schedules for one process: one schedule as text, or Count generated ones with seeds from First on.
 type Request struct {
 	Text  string         `json:"text,omitempty"`
 	Shape schedule.Shape `json:"shape"`
@@ -27,7 +27,7 @@
 	Count int            `json:"count"`
 }
 
-// Schedules are the schedules of the request, in order.
+// Schedules returns the schedules of the request, in order.
 func (r Request) Schedules() ([]schedule.Schedule, error) {
 	if r.Text != "" {
 		parsed, err := schedule.Parse(r.Text)
@@ -40,33 +40,33 @@
 	return all, nil
 }
 
-// Line describes one schedule: that it begins, or how it ended.
+// Line reports that one schedule begins, or how it ended.
 type Line struct {
 	Seed            uint64    `json:"seed"`
 	Begins          bool      `json:"begins,omitempty"`
 	Violations      []Finding `json:"violations,omitempty"`
 	Counts          Counts    `json:"counts"`
-	InContactDelays Delays    `json:"inContactDelays,omitempty"` // of acknowledged changes, until agents in contact show them
-	Delays          Delays    `json:"delays,omitempty"`          // the same of all agents
+	InContactDelays Delays    `json:"inContactDelays,omitempty"` // from the acknowledgement of a change until agents in contact show it
+	Delays          Delays    `json:"delays,omitempty"`          // the same for all agents
 }
 
-// Finding is one check that a schedule broke.
+// Finding is a check that a schedule failed.
 type Finding struct {
 	Check string `json:"check"`
 	Text  string `json:"text"`
 }
 
-// Counts tell how much happened in the schedules, so that one in which nothing does is noticed.
+// Counts are the amounts of activity in schedules; they reveal a schedule without any.
 type Counts struct {
 	Operations   int `json:"operations"`
 	Acknowledged int `json:"acknowledged"`
 	Views        int `json:"views"`
 	Heartbeats   int `json:"beats"`
 	Departures   int `json:"departures"`
-	Faults       int `json:"struck"` // faults brought about
+	Faults       int `json:"struck"` // injected faults
 }
 
-// add adds those of another schedule.
+// add adds the counts of another schedule.
 func (c *Counts) add(other Counts) {
 	c.Operations += other.Operations
 	c.Acknowledged += other.Acknowledged
@@ -76,18 +76,20 @@
 	c.Faults += other.Faults
 }
 
-// Requested reads the request out of the environment; false: there is none.
+// Requested returns the request from the environment, and whether there is one.
 func Requested() (Request, bool, error) {
 	text := os.Getenv(Variable)
 	if text == "" {
 		return Request{}, false, nil
 	}
 	var request Request
-	err := json.Unmarshal([]byte(text), &request)
-	return request, true, err
+	if err := json.Unmarshal([]byte(text), &request); err != nil {
+		return request, true, fmt.Errorf("parse the request in the environment variable %s: %w", Variable, err)
+	}
+	return request, true, nil
 }
 
-// Write writes the line.
+// Write writes the line in the format that parseLine reads.
 func (l Line) Write(out io.Writer) error {
 	text, err := json.Marshal(l)
 	if err != nil {
@@ -97,11 +99,11 @@
 	return err
 }
 
-// parseLine reads what Write wrote; false: the line is somebody else's.
+// parseLine parses a line that Write wrote. It returns false for any other line.
 func parseLine(text string) (Line, bool) {
-	rest, ours := strings.CutPrefix(text, linePrefix)
+	rest, isResult := strings.CutPrefix(text, linePrefix)
 	var line Line
-	if !ours || json.Unmarshal([]byte(rest), &line) != nil {
+	if !isResult || json.Unmarshal([]byte(rest), &line) != nil {
 		return Line{}, false
 	}
 	return line, true
--- a/internal/testkit/controlplanesim/campaign/result.go
+++ b/internal/testkit/controlplanesim/campaign/result.go
@@ -18,29 +18,30 @@
 	Parts   []ShapeResult `json:"parts"`
 }
 
-// ShapeResult is what the schedules of one shape showed.
+// ShapeResult is the result of all schedules of one shape.
 type ShapeResult struct {
 	Servers         int       `json:"keepers"`
 	Tolerance       int       `json:"tolerance"`
 	Omit            []string  `json:"omit,omitempty"`
-	First           uint64    `json:"first"` // seed
+	First           uint64    `json:"first"` // first seed
 	Played          int       `json:"played"`
 	Seconds         float64   `json:"seconds"`
-	FoundAfter      int       `json:"foundAfter,omitempty"` // schedules, counted by seed, up to the first with a violation
+	FoundAfter      int       `json:"foundAfter,omitempty"` // number of seeds up to and including the first with a violation
 	Counts          Counts    `json:"counts"`
 	Failures        []Failure `json:"failures,omitempty"`
 	InContactDelays Delays    `json:"inContactDelays,omitempty"` // see Line
 	Delays          Delays    `json:"delays,omitempty"`
 }
 
-// newShapeResult returns the result of a shape of which nothing was played.
+// newShapeResult returns the result of a shape before any schedule is played.
 func newShapeResult(shape schedule.Shape) ShapeResult {
 	return ShapeResult{Servers: shape.Servers, Tolerance: shape.Tolerance, Omit: slices.Clone(shape.Omit),
 		InContactDelays: Delays{}, Delays: Delays{}}
 }
 
-// createMissingDelays makes a result complete that was stored without delays: by an earlier version, or before any were observed.
-func (p *ShapeResult) createMissingDelays() {
+// initializeDelays creates the delays of a stored result that has none: it was stored by an earlier version, or before any
+// delay was observed.
+func (p *ShapeResult) initializeDelays() {
 	if p.InContactDelays == nil {
 		p.InContactDelays = Delays{}
 	}
@@ -49,7 +50,7 @@
 	}
 }
 
-// add counts one schedule.
+// add adds the result of one schedule.
 func (p *ShapeResult) add(line Line) {
 	p.Played++
 	p.Counts.add(line.Counts)
@@ -68,7 +69,7 @@
 	Shrunk     string    `json:"shrunk,omitempty"`
 }
 
-// Checks are the names of the checks that broke.
+// Checks returns the names of the failed checks.
 func (f Failure) Checks() []string {
 	var names []string
 	for _, finding := range f.Violations {
@@ -77,7 +78,7 @@
 	return names
 }
 
-// Violations counts the schedules with violations in the parts that leave no guard out.
+// Violations returns the number of schedules with violations among the shapes that omit no guard.
 func (r Result) Violations() int {
 	count := 0
 	for _, part := range r.Parts {
@@ -88,7 +89,7 @@
 	return count
 }
 
-// Missed are the guards whose absence no schedule showed.
+// Missed returns the omitted guards whose absence caused no violation in any schedule.
 func (r Result) Missed() []string {
 	var missed []string
 	for _, part := range r.Parts {
@@ -106,7 +107,7 @@
 	return encoder.Encode(r)
 }
 
-// WriteText writes the result for people.
+// WriteText writes the result as text: a table, followed by the failures.
 func (r Result) WriteText(out io.Writer) {
 	fmt.Fprintf(out, "%s\nbuild %s, load at the start %s\n\n", r.Command, r.Build, r.Load)
 	fmt.Fprintln(out, "| servers | omitted guards | schedules | with violations | found after | seconds | operations | acknowledged | views | heartbeats | faults | p99 until views show a change: in contact, all |")
@@ -128,7 +129,7 @@
 	}
 	fmt.Fprintf(out, "| %d | %s | %d | %d | %s | %.0f | %d | %d | %d | %d | %d | %s, %s |\n", p.Servers, omitted, p.Played, len(p.Failures), after, p.Seconds,
 		p.Counts.Operations, p.Counts.Acknowledged, p.Counts.Views, p.Counts.Heartbeats, p.Counts.Faults,
-		p.InContactDelays.text(), p.Delays.text())
+		p.InContactDelays.formatPercentile(), p.Delays.formatPercentile())
 }
 
 func (f Failure) write(out io.Writer) {
