--- a/internal/testkit/controlplanesim/call.go
+++ b/internal/testkit/controlplanesim/call.go
@@ -9,16 +9,16 @@
 	"ospreybend/internal/testkit/controlplanesim/simnet"
 )
 
-// callTimeout is how long a caller waits for an answer before it tries another node.
+// callTimeout is how long a caller waits for a response before it tries another server.
 const callTimeout = time.Second
 
-// call calls a machine's API, as over HTTP. The status is 0 if no answer arrived in time. A call that has arrived
-// is processed even if its caller no longer waits.
-func (w *world) call(from string, to *machine, request server.APIRequest) server.APIResponse {
+// call sends a request to a machine's API, in place of HTTP. The status is 0 if no response arrives in time. A request
+// that has been delivered is processed even if its caller no longer waits.
+func (sim *simulation) call(from string, to *machine, request server.APIRequest) server.APIResponse {
 	answered := make(chan server.APIResponse, 1)
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
-	w.running.Go(func() { w.deliver(ctx, from, to, request, answered) })
+	sim.goroutines.Go(func() { sim.deliver(ctx, from, to, request, answered) })
 	select {
 	case response := <-answered:
 		return response
@@ -27,37 +27,37 @@
 	}
 }
 
-// deliver carries a call to the machine and its answer back. ctx ends when the caller no longer waits.
-func (w *world) deliver(ctx context.Context, from string, to *machine, request server.APIRequest, answered chan<- server.APIResponse) {
+// deliver transports a request to the machine and the response back. ctx ends when the caller no longer waits.
+func (sim *simulation) deliver(ctx context.Context, from string, to *machine, request server.APIRequest, answered chan<- server.APIResponse) {
 	path := simnet.Path{From: from, To: to.ip}
-	if !w.travel(ctx, path) {
+	if !sim.travel(ctx, path) {
 		return
 	}
 	served, process := to.serving()
 	if served == nil {
-		answered <- server.APIResponse{} // the port refuses
+		answered <- server.APIResponse{} // connection refused
 		return
 	}
 	if !process.Await() {
 		return
 	}
 	response := served.Handle(context.Background(), request)
-	if !process.Await() || w.losesReplies(from) {
+	if !process.Await() || sim.dropsReplies(from) {
 		return
 	}
-	if w.travel(ctx, simnet.Path{From: to.ip, To: from}) {
+	if sim.travel(ctx, simnet.Path{From: to.ip, To: from}) {
 		answered <- response
 	}
 }
 
-// travel waits until a message has arrived along a path. It returns false if ctx ends before.
-func (w *world) travel(ctx context.Context, path simnet.Path) bool {
+// travel waits until a message has arrived along a path. It returns false if ctx ends first.
+func (sim *simulation) travel(ctx context.Context, path simnet.Path) bool {
 	for {
-		changed := w.network.Changed()
-		if !simnet.Sleep(ctx, w.network.Delay(path)) {
+		changed := sim.network.Changed()
+		if !simnet.Sleep(ctx, sim.network.Delay(path)) {
 			return false
 		}
-		if w.network.Open(path) {
+		if sim.network.Open(path) {
 			return true
 		}
 		select {
@@ -68,7 +68,7 @@
 	}
 }
 
-// classify reports whether a status of the API is final for an operator's call, and whether the call was accepted.
+// classify reports whether an API status is final for an operator's call, and whether the call was accepted.
 func classify(status int) (final, accepted bool) {
 	switch status {
 	case http.StatusOK:
--- a/internal/testkit/controlplanesim/caller.go
+++ b/internal/testkit/controlplanesim/caller.go
@@ -6,26 +6,26 @@
 	"time"
 )
 
-// caller is what operators and workers have in common: it calls one server after the other, at random.
+// caller is the part that operators and workers share: it chooses a server at random for each call.
 type caller struct {
-	world *world
-	host  string // IP
+	simulation *simulation
+	host       string // IP
 
-	mutex     sync.Mutex // of all that follows and of the embedding type's state
+	mutex     sync.Mutex // guards the fields below and the embedding type's state
 	random    *rand.Rand
-	reachable []*machine // nil: all that are listed
+	reachable []*machine // nil: all listed machines
 }
 
-// randomDuration draws a duration below the limit.
+// randomDuration returns a random duration below the limit, from the caller's own source.
 func (c *caller) randomDuration(limit time.Duration) time.Duration {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return rand64(c.random, limit)
+	return randomDurationBelow(c.random, limit)
 }
 
-// pickServer chooses a server of the list, or of the reachable ones.
+// pickServer returns a random server from the list, or from the reachable ones if the caller is restricted.
 func (c *caller) pickServer() *machine {
-	listed := c.world.listedMachines()
+	listed := c.simulation.listedMachines()
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if len(c.reachable) > 0 {
@@ -34,14 +34,14 @@
 	return listed[c.random.IntN(len(listed))]
 }
 
-// restrictTo lets it reach the given machines alone; nil lifts the restriction.
+// restrictTo limits the caller to the given machines; nil lifts the restriction.
 func (c *caller) restrictTo(reachable []*machine) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.reachable = reachable
 }
 
-// rand64 draws a duration below the limit.
-func rand64(random *rand.Rand, limit time.Duration) time.Duration {
+// randomDurationBelow returns a random duration below the limit.
+func randomDurationBelow(random *rand.Rand, limit time.Duration) time.Duration {
 	return time.Duration(random.Int64N(int64(limit)))
 }
--- a/internal/testkit/controlplanesim/client_events.go
+++ b/internal/testkit/controlplanesim/client_events.go
@@ -9,74 +9,74 @@
 	"ospreybend/internal/testkit/controlplanesim/simnet"
 )
 
-// resendDelay is how soon after the first attempt the same order is sent to another server.
+// resendDelay is the time after which sendTwice sends the same order to another server.
 const resendDelay = 2 * time.Millisecond
 
-func (w *world) playLoseReplies(_ context.Context, event schedule.Event) {
+func (sim *simulation) playLoseReplies(_ context.Context, event schedule.Event) {
 	var hosts []string
 	for _, i := range event.Operators {
-		hosts = append(hosts, w.operators[i].host)
+		hosts = append(hosts, sim.operators[i].host)
 	}
-	end := w.loseReplies(hosts)
+	end := sim.dropReplies(hosts)
 	time.Sleep(event.For)
 	end()
 }
 
-// playRace has operators send at once on top of one version.
-func (w *world) playRace(ctx context.Context, event schedule.Event) {
+// playRace makes operators send orders concurrently, based on the same generation.
+func (sim *simulation) playRace(ctx context.Context, event schedule.Event) {
 	if len(event.Operators) == 0 {
 		return
 	}
-	first := w.operators[event.Operators[0]]
-	base := w.newestBase(event.Operators)
+	first := sim.operators[event.Operators[0]]
+	base := sim.newestBase(event.Operators)
 	if base == 0 {
 		return
 	}
 	shared := first.makeOrder(base)
 	var racing sync.WaitGroup
 	for _, i := range event.Operators {
-		o := w.operators[i]
-		racing.Go(func() { w.race(ctx, event.Variant, o, base, shared) })
+		o := sim.operators[i]
+		racing.Go(func() { sim.race(ctx, event.Variant, o, base, shared) })
 	}
 	racing.Wait()
 }
 
-func (w *world) race(ctx context.Context, variant schedule.Variant, sender *operator, base uint64, shared order) {
+func (sim *simulation) race(ctx context.Context, variant schedule.Variant, sender *operator, base uint64, shared order) {
 	switch variant {
 	case schedule.RaceBodies:
 		sender.send(ctx, replaceOrder(sender.newName(), base, shared.generation))
 	case schedule.RaceSame:
 		sender.send(ctx, shared)
 	case schedule.RaceRepeat:
-		w.sendTwice(ctx, sender, sender.makeOrder(base))
+		sim.sendTwice(ctx, sender, sender.makeOrder(base))
 	case schedule.RaceOld:
-		if old, found := sender.acceptedBefore(); found {
-			sender.sendAtMost(ctx, old, maxOldAttempts)
+		if old, found := sender.olderAcceptedOrder(); found {
+			sender.sendAtMost(ctx, old, maxOldOrderAttempts)
 		}
 	case schedule.RaceAhead:
-		w.sendAhead(ctx, sender, base)
+		sim.sendAhead(ctx, sender, base)
 	case schedule.RaceBase:
-		if old, found := sender.acceptedBefore(); found && old.base > 1 {
-			sender.sendAtMost(ctx, old.withBase(sender.newName(), old.base-1), maxOldAttempts)
+		if old, found := sender.olderAcceptedOrder(); found && old.base > 1 {
+			sender.sendAtMost(ctx, old.withBase(sender.newName(), old.base-1), maxOldOrderAttempts)
 		}
 	}
 }
 
-// maxOldAttempts limits the attempts of an order that may be forgotten by now, for which there is no final answer then.
-const maxOldAttempts = 4
+// maxOldOrderAttempts limits the attempts of an old order: the servers may have forgotten it and then give no final response.
+const maxOldOrderAttempts = 4
 
-// sendAhead sends an order and, while it is in flight, another one on top of it, twice.
-func (w *world) sendAhead(ctx context.Context, o *operator, base uint64) {
+// sendAhead sends an order and, while it is in flight, sends another one based on it, twice.
+func (sim *simulation) sendAhead(ctx context.Context, o *operator, base uint64) {
 	first := o.makeOrder(base)
 	next := o.makeOrder(first.generation)
 	var sending sync.WaitGroup
 	sending.Go(func() { o.send(ctx, first) })
-	sending.Go(func() { w.sendTwice(ctx, o, next) })
+	sending.Go(func() { sim.sendTwice(ctx, o, next) })
 	sending.Wait()
 }
 
 // sendTwice sends an order to a second server while the first attempt is in flight.
-func (w *world) sendTwice(ctx context.Context, o *operator, sent order) {
+func (sim *simulation) sendTwice(ctx context.Context, o *operator, sent order) {
 	var both sync.WaitGroup
 	both.Go(func() { o.send(ctx, sent) })
 	if simnet.Sleep(ctx, resendDelay) {
@@ -85,20 +85,20 @@
 	both.Wait()
 }
 
-// newestBase is the newest generation that any of the operators has seen.
-func (w *world) newestBase(operators []int) uint64 {
+// newestBase returns the newest generation that any of the operators has seen.
+func (sim *simulation) newestBase(operators []int) uint64 {
 	var base uint64
 	for _, i := range operators {
-		base = max(base, w.operators[i].base())
+		base = max(base, sim.operators[i].base())
 	}
 	return base
 }
 
-// playBurst has operators send many changes, each on top of the one before.
-func (w *world) playBurst(ctx context.Context, event schedule.Event) {
+// playBurst makes operators send many changes without a pause, each based on the previous one.
+func (sim *simulation) playBurst(ctx context.Context, event schedule.Event) {
 	var sending sync.WaitGroup
 	for _, i := range event.Operators {
-		o := w.operators[i]
+		o := sim.operators[i]
 		sending.Go(func() {
 			for range event.Count {
 				if base := o.base(); base > 0 && ctx.Err() == nil {
@@ -110,27 +110,27 @@
 	sending.Wait()
 }
 
-// playBad has operators send what must be rejected.
-func (w *world) playBad(ctx context.Context, event schedule.Event) {
+// playBad makes operators send invalid configurations, which must be rejected.
+func (sim *simulation) playBad(ctx context.Context, event schedule.Event) {
 	for _, i := range event.Operators {
-		o := w.operators[i]
+		o := sim.operators[i]
 		if base := o.base(); base > 0 {
 			o.send(ctx, invalidOrder(o.newName(), base, base+1, event.Variant))
 		}
 	}
 }
 
-// playWorkers has workers leave, crash or be late.
-func (w *world) playWorkers(ctx context.Context, event schedule.Event) {
+// playWorkers makes workers leave, crash or send their heartbeats late.
+func (sim *simulation) playWorkers(ctx context.Context, event schedule.Event) {
 	var leaving sync.WaitGroup
 	for _, i := range event.Workers {
-		one := w.workers[i]
+		one := sim.workers[i]
 		leaving.Go(func() {
 			if event.Variant == schedule.WorkerLate {
 				one.delayHeartbeats(ctx, event.For)
 				return
 			}
-			if departing := one.takeIncarnation(); departing != nil {
+			if departing := one.detachIncarnation(); departing != nil {
 				departing.depart(ctx, event.Variant)
 			}
 			simnet.Sleep(ctx, event.For)
@@ -140,7 +140,7 @@
 	leaving.Wait()
 }
 
-// delayHeartbeats delays a worker's heartbeats for a while.
+// delayHeartbeats delays a worker's heartbeats by about the given time, for the same time.
 func (w *worker) delayHeartbeats(ctx context.Context, delay time.Duration) {
 	w.mutex.Lock()
 	running := w.incarnation
--- a/internal/testkit/controlplanesim/cutoff_test.go
+++ b/internal/testkit/controlplanesim/cutoff_test.go
@@ -17,34 +17,34 @@
 	"ospreybend/internal/testkit/controlplanesim/simnet"
 )
 
-// Times of the scenarios of a cut.
+// Times of the network partition scenarios.
 const (
-	cutAt        = 6 * time.Second
-	cutFor       = 20 * time.Second
-	cutLength    = cutAt + cutFor + 6*time.Second
-	readInterval = 300 * time.Millisecond // of reads behind the cut
-	hurry        = time.Second            // in which a new leader may be there beside the old one
+	cutAt                  = 6 * time.Second
+	cutDuration            = 20 * time.Second
+	scenarioLength         = cutAt + cutDuration + 6*time.Second
+	readInterval           = 300 * time.Millisecond // between reads from the isolated server
+	concurrentLeaderWindow = time.Second            // in which a new leader may be active beside the old one
 )
 
 // Roles of the operators and workers in these scenarios.
 const (
-	outsideOperator = 0 // goes to all servers
-	insideOperator  = 1 // reaches the cut ones alone
-	steadyWorker    = 0 // has its heartbeats go there alone
-	drainWorker     = 1 // drains there
-	leaveWorker     = 2 // deregisters there without notice before
-	crashWorker     = 3 // reaches all, and is there throughout
+	outsideOperator = 0 // reaches all servers
+	insideOperator  = 1 // reaches only the isolated server
+	steadyWorker    = 0 // sends heartbeats to the isolated server only
+	drainWorker     = 1 // drains at the isolated server
+	leaveWorker     = 2 // deregisters at the isolated server without draining
+	crashWorker     = 3 // reaches all servers and runs throughout
 )
 
-// cutScenario is one way in which a server is partitioned off.
+// cutScenario is one way in which a server is isolated from the others.
 type cutScenario struct {
-	variant  schedule.Variant // empty: it is frozen
-	follower bool             // not the leader of the configuration's group
-	agents   []int            // that are partitioned off along with it
-	restart  bool             // its process is restarted behind the cut
-	wiped    bool             // and has lost its disk
-	early    bool             // workers leave right after the beginning, when it does not know yet
-	others   bool             // the other processes are restarted at the beginning, and soon have a leader
+	variant        schedule.Variant // empty: the server is frozen instead
+	follower       bool             // isolates a follower of the configuration group, not its leader
+	agents         []int            // isolated together with the server
+	restart        bool             // restarts the isolated server's process
+	wiped          bool             // the isolated server also loses its disk
+	earlyDeparture bool             // workers leave right after the cut, before the server notices that it is isolated
+	othersRestart  bool             // restarts the other servers when the cut begins; they soon elect a leader
 }
 
 func (c cutScenario) String() string {
@@ -55,7 +55,7 @@
 	for _, one := range []struct {
 		holds bool
 		name  string
-	}{{!c.follower, "leader"}, {c.follower, "follower"}, {len(c.agents) > 0, "with agents"}, {c.restart, "restarted"}, {c.wiped, "wiped"}, {c.early, "early"}, {c.others, "while the others restart"}} {
+	}{{!c.follower, "leader"}, {c.follower, "follower"}, {len(c.agents) > 0, "with agents"}, {c.restart, "restarted"}, {c.wiped, "wiped"}, {c.earlyDeparture, "early"}, {c.othersRestart, "while the others restart"}} {
 		if one.holds {
 			name += " " + one.name
 		}
@@ -63,7 +63,7 @@
 	return name
 }
 
-// cutScenarios are all ways in which the operators report that a server was partitioned off.
+// cutScenarios returns the partition scenarios that operators have reported, for a leader and for a follower.
 func cutScenarios() []cutScenario {
 	var all []cutScenario
 	for _, follower := range []bool{false, true} {
@@ -75,45 +75,45 @@
 			cutScenario{variant: schedule.CutServers, follower: follower, restart: true},
 			cutScenario{variant: schedule.CutSide, follower: follower, agents: []int{0}, restart: true},
 			cutScenario{variant: schedule.CutServers, follower: follower, restart: true, wiped: true},
-			cutScenario{variant: schedule.CutServers, follower: follower, early: true},
-			cutScenario{variant: schedule.CutServers, follower: follower, others: true},
+			cutScenario{variant: schedule.CutServers, follower: follower, earlyDeparture: true},
+			cutScenario{variant: schedule.CutServers, follower: follower, othersRestart: true},
 		)
 	}
 	return all
 }
 
-// playCutScenario cuts a server off for twenty seconds, with callers that reach it alone.
+// playCutScenario isolates a server for cutDuration, with callers that can reach only this server.
 func playCutScenario(t *testing.T, seed uint64, c cutScenario, omit ...string) (Report, []string) {
 	t.Helper()
 	s := schedule.Schedule{
-		Seed: seed, Servers: 3, Tolerance: 1, Agents: 4, Operators: 2, Workers: 4, Length: cutLength, Omit: omit,
+		Seed: seed, Servers: 3, Tolerance: 1, Agents: 4, Operators: 2, Workers: 4, Length: scenarioLength, Omit: omit,
 	}
-	var wrong []string
-	report := playScript(t, s, zap.NewNop(), func(w *world, ctx context.Context) {
+	var problems []string
+	report := playScript(t, s, zap.NewNop(), func(sim *simulation, ctx context.Context) {
 		time.Sleep(cutAt)
-		victim := w.victim(c.follower)
+		victim := sim.serverToIsolate(c.follower)
 		if victim < 0 {
-			wrong = append(wrong, "no group is led")
+			problems = append(problems, "no server to isolate: the configuration group has no leader")
 			return
 		}
-		began, ended := w.cutOff(ctx, c, victim)
-		time.Sleep(cutLength - w.record.now())
-		wrong = append(wrong, w.acknowledgedBehind(victim, began+c.lease(), ended)...)
+		began, ended := sim.isolate(ctx, c, victim)
+		time.Sleep(scenarioLength - sim.record.now())
+		problems = append(problems, sim.acknowledgedDuringCut(victim, began+c.lease(), ended)...)
 	})
-	return report, wrong
+	return report, problems
 }
 
-// lease is how long after the beginning the server may still acknowledge what changes nothing.
+// lease returns how long after the cut begins the server may still answer calls that change nothing.
 func (c cutScenario) lease() time.Duration {
 	return cutLease(c.variant, 1)
 }
 
-// victim returns the slot of the server that leads the configuration's group, or of one that doesn't.
-func (w *world) victim(follower bool) int {
+// serverToIsolate returns the slot of the configuration group's leader, or of a server that is not its leader; -1 if there is none.
+func (sim *simulation) serverToIsolate(follower bool) int {
 	leads := func(status replica.Status) bool {
 		return status.Shard == shards.ConfigurationShard && status.IsLeader()
 	}
-	for _, m := range w.currentMachines() {
+	for _, m := range sim.currentMachines() {
 		if slices.ContainsFunc(m.inspect(), leads) != follower {
 			return m.slot
 		}
@@ -121,106 +121,107 @@
 	return -1
 }
 
-// cutOff carries the scenario out and returns when the cut began and ended.
-func (w *world) cutOff(ctx context.Context, c cutScenario, victim int) (began, ended time.Duration) {
-	began = w.record.now()
+// isolate runs the scenario and returns when the cut began and ended.
+func (sim *simulation) isolate(ctx context.Context, c cutScenario, victim int) (began, ended time.Duration) {
+	began = sim.record.now()
 	event := schedule.Event{
-		At: began, Kind: schedule.Cut, Variant: c.variant, Servers: []int{victim}, Agents: c.agents, For: cutFor, Restart: c.restart,
+		At: began, Kind: schedule.Cut, Variant: c.variant, Servers: []int{victim}, Agents: c.agents, For: cutDuration, Restart: c.restart,
 		Operators: []int{insideOperator}, Workers: []int{steadyWorker, drainWorker, leaveWorker},
 	}
-	during, stop := context.WithTimeout(ctx, cutFor)
+	during, stop := context.WithTimeout(ctx, cutDuration)
 	defer stop()
-	w.running.Go(func() { w.leaveBehind(ctx, c.early) })
-	w.running.Go(func() { w.readBehind(during, w.machineAt(victim)) })
-	if c.others {
-		w.running.Go(func() { w.restartOthers(ctx, victim) })
+	sim.goroutines.Go(func() { sim.departDuringCut(ctx, c.earlyDeparture) })
+	sim.goroutines.Go(func() { sim.readDuringCut(during, sim.machineAt(victim)) })
+	if c.othersRestart {
+		sim.goroutines.Go(func() { sim.restartOthers(ctx, victim) })
 	}
 	if c.wiped {
-		w.running.Go(func() {
-			time.Sleep(cutFor/3 + cutFor/20)
-			w.machineAt(victim).wipe()
+		sim.goroutines.Go(func() {
+			time.Sleep(cutDuration/3 + cutDuration/20)
+			sim.machineAt(victim).wipe()
 		})
 	}
 	if c.variant == "" {
 		event.Kind = schedule.Freeze
-		w.restrictTo(event, w.machinesAt(event.Servers))
-		w.playFreeze(ctx, event)
-		w.restrictTo(event, nil)
+		sim.restrictTo(event, sim.machinesAt(event.Servers))
+		sim.playFreeze(ctx, event)
+		sim.restrictTo(event, nil)
 	} else {
-		w.playCut(ctx, event)
+		sim.playCut(ctx, event)
 	}
-	return began, w.record.now()
+	return began, sim.record.now()
 }
 
-// leaveBehind has workers leave in the middle of the cut, which they can tell the cut server alone.
-func (w *world) leaveBehind(ctx context.Context, early bool) {
+// departDuringCut makes workers leave during the cut; they can report this only to the isolated server.
+func (sim *simulation) departDuringCut(ctx context.Context, early bool) {
 	if early {
 		time.Sleep(readInterval)
 	} else {
-		time.Sleep(cutFor / 2)
+		time.Sleep(cutDuration / 2)
 	}
 	for worker, variant := range map[int]schedule.Variant{drainWorker: schedule.WorkerDrain, leaveWorker: schedule.WorkerDeregister} {
-		gone := w.workers[worker].takeIncarnation()
-		w.running.Go(func() { gone.depart(ctx, variant) })
+		gone := sim.workers[worker].detachIncarnation()
+		sim.goroutines.Go(func() { gone.depart(ctx, variant) })
 	}
 }
 
-// restartOthers restarts the processes of all but one server at once, and sends orders as soon as they can be accepted.
-func (w *world) restartOthers(ctx context.Context, victim int) {
-	over := w.record.beginFault(history.Fault{What: "all others are killed", Core: true, Lost: w.allSlots()})
+// restartOthers restarts all servers but one at the same time and sends orders to them from then on.
+func (sim *simulation) restartOthers(ctx context.Context, victim int) {
+	endFault := sim.record.beginFault(history.Fault{What: "all others are killed", Core: true, Lost: sim.allSlots()})
 	var others []*machine
-	for _, m := range w.currentMachines() {
+	for _, m := range sim.currentMachines() {
 		if m.slot != victim {
 			m.kill()
 			others = append(others, m)
 		}
 	}
-	w.startAll(others)
-	over()
-	outside := w.operators[outsideOperator]
+	sim.startAll(others)
+	endFault()
+	outside := sim.operators[outsideOperator]
 	outside.restrictTo(others)
-	until, stop := context.WithTimeout(ctx, hurry)
+	until, stop := context.WithTimeout(ctx, concurrentLeaderWindow)
 	defer stop()
-	w.running.Go(func() { w.readOften(until, w.machineAt(victim)) })
+	sim.goroutines.Go(func() { sim.readRepeatedly(until, sim.machineAt(victim)) })
 	var sending sync.WaitGroup
 	for _, m := range others {
-		sending.Go(func() { w.orderOften(until, outside, m) })
+		sending.Go(func() { sim.sendOrdersRepeatedly(until, outside, m) })
 	}
 	sending.Wait()
 	outside.restrictTo(nil)
 }
 
-// orderOften has an operator send orders to a server, one after the other, until ctx ends.
-func (w *world) orderOften(ctx context.Context, o *operator, to *machine) {
+// sendOrdersRepeatedly sends orders from an operator to a server, one after the other, until ctx ends.
+func (sim *simulation) sendOrdersRepeatedly(ctx context.Context, o *operator, to *machine) {
 	for ctx.Err() == nil {
-		sent := o.makeOrder(w.newestBase([]int{outsideOperator, insideOperator}))
-		if ends, taken := classify(o.attempt(sent, to, 1)); ends {
-			o.recordOutcome(ctx, sent, taken)
+		sent := o.makeOrder(sim.newestBase([]int{outsideOperator, insideOperator}))
+		if final, accepted := classify(o.attempt(sent, to, 1)); final {
+			o.recordOutcome(ctx, sent, accepted)
 		}
 	}
 }
 
-// readOften reads from a server again and again until ctx ends.
-func (w *world) readOften(ctx context.Context, from *machine) {
-	for simnet.Sleep(ctx, hurry/100) {
-		w.operators[insideOperator].read(ctx, from)
+// readRepeatedly reads from a server at short intervals until ctx ends.
+func (sim *simulation) readRepeatedly(ctx context.Context, from *machine) {
+	for simnet.Sleep(ctx, concurrentLeaderWindow/100) {
+		sim.operators[insideOperator].read(ctx, from)
 	}
 }
 
-// readBehind reads from the cut server until ctx ends.
-func (w *world) readBehind(ctx context.Context, from *machine) {
+// readDuringCut reads from the isolated server until ctx ends.
+func (sim *simulation) readDuringCut(ctx context.Context, from *machine) {
 	for simnet.Sleep(ctx, readInterval) {
-		w.operators[insideOperator].read(ctx, from)
+		sim.operators[insideOperator].read(ctx, from)
 	}
 }
 
-// acknowledgedBehind lists what the cut server acknowledged, or rejected for good, though it could not know.
-func (w *world) acknowledgedBehind(victim int, from, to time.Duration) []string {
-	seen, _ := w.record.result()
-	var wrong []string
+// acknowledgedDuringCut describes the final answers, positive or negative, that the isolated server gave although it could not
+// know whether they were current.
+func (sim *simulation) acknowledgedDuringCut(victim int, from, to time.Duration) []string {
+	seen, _ := sim.record.result()
+	var problems []string
 	for _, one := range seen.Operations {
 		if one.Server == victim && one.Call >= from && one.Return < to && one.Outcome != history.Unknown {
-			wrong = append(wrong, "behind the cut: "+one.String())
+			problems = append(problems, "final answer from the isolated server: "+one.String())
 		}
 	}
 	inside := func(instance string) bool {
@@ -230,42 +231,42 @@
 	}
 	for _, one := range seen.Heartbeats {
 		if inside(one.Instance) && one.At >= from && one.At < to {
-			wrong = append(wrong, fmt.Sprintf("behind the cut, %s is acknowledged a heartbeat at %v", one.Instance, one.At))
+			problems = append(problems, fmt.Sprintf("isolated server acknowledged a heartbeat of %s at %v", one.Instance, one.At))
 		}
 	}
 	for _, one := range seen.Departures {
 		if inside(one.Instance) && one.Acknowledged >= from && one.Acknowledged < to {
-			wrong = append(wrong, fmt.Sprintf("behind the cut, %s is acknowledged its departure at %v", one.Instance, one.Acknowledged))
+			problems = append(problems, fmt.Sprintf("isolated server acknowledged the departure of %s at %v", one.Instance, one.Acknowledged))
 		}
 	}
-	return wrong
+	return problems
 }
 
 func TestCut_isolatedServerServesNothingAsCurrent(t *testing.T) {
 	for i, c := range cutScenarios() {
 		t.Run(c.String(), func(t *testing.T) {
-			report, wrong := playCutScenario(t, uint64(1+i), c)
-			if len(wrong) > 0 || report.Failed() {
-				t.Errorf("%v\n%v", wrong, report)
+			report, problems := playCutScenario(t, uint64(1+i), c)
+			if len(problems) > 0 || report.Failed() {
+				t.Errorf("isolated server during the cut: %v\nreport: %v", problems, report)
 			}
 			if report.Figures.Acknowledged < 10 {
-				t.Errorf("only %d orders were taken", report.Figures.Acknowledged)
+				t.Errorf("got %d acknowledged orders, want at least 10", report.Figures.Acknowledged)
 			}
 		})
 	}
 }
 
-// guardedCuts names the guards against cuts, each with a scenario that breaks a promise without it.
+// guardedCuts lists the guards that matter during a partition, each with a scenario that violates a guarantee without it.
 var guardedCuts = []struct {
 	guard    string
 	scenario cutScenario
-	seed     uint64 // from which on one of twenty shows it
+	seed     uint64 // first of 20 seeds, at least one of which shows the violation
 }{
-	{"keeper.read-confirmed", cutScenario{variant: schedule.CutServers, others: true}, 1},
-	{"agreement.read-confirmed", cutScenario{variant: schedule.CutServers, others: true}, 20},
+	{"keeper.read-confirmed", cutScenario{variant: schedule.CutServers, othersRestart: true}, 1},
+	{"agreement.read-confirmed", cutScenario{variant: schedule.CutServers, othersRestart: true}, 20},
 	{"keeper.feed-current", cutScenario{variant: schedule.CutServers}, 1},
 	{"keeper.beat-current", cutScenario{variant: schedule.CutServers, follower: true}, 1},
-	{"keeper.beat-recorded", cutScenario{variant: schedule.CutServers, follower: true, early: true}, 1},
+	{"keeper.beat-recorded", cutScenario{variant: schedule.CutServers, follower: true, earlyDeparture: true}, 1},
 	{"keeper.founding-once", cutScenario{variant: schedule.CutServers, restart: true, wiped: true}, 1},
 	{"agreement.commit-majority", cutScenario{variant: schedule.CutServers}, 1},
 	{GuardLeaveStale, cutScenario{variant: schedule.CutServers}, 1},
@@ -276,12 +277,12 @@
 		t.Run(one.guard, func(t *testing.T) {
 			const attempts = 20
 			for seed := range uint64(attempts) {
-				if report, wrong := playCutScenario(t, one.seed+seed, one.scenario, one.guard); len(wrong) > 0 || report.Failed() {
-					t.Logf("seed %d: %.300v %.300v", one.seed+seed, wrong, report.Violations)
+				if report, problems := playCutScenario(t, one.seed+seed, one.scenario, one.guard); len(problems) > 0 || report.Failed() {
+					t.Logf("seed %d violates a guarantee: %.300v %.300v", one.seed+seed, problems, report.Violations)
 					return
 				}
 			}
-			t.Errorf("without %s, no promise is broken by %q", one.guard, one.scenario)
+			t.Errorf("guard %s omitted: %d seeds of scenario %q violated no guarantee, want at least one violation", one.guard, attempts, one.scenario)
 		})
 	}
 }
--- a/internal/testkit/controlplanesim/disk.go
+++ b/internal/testkit/controlplanesim/disk.go
@@ -10,43 +10,43 @@
 	"ospreybend/internal/testkit/controlplanesim/simnet"
 )
 
-// Times that a disk takes.
+// Duration of disk operations.
 const (
-	syncTime   = 400 * time.Microsecond
-	slowFactor = 100
+	syncLatency    = 400 * time.Microsecond
+	slowDiskFactor = 100
 )
 
-// machineDisk is the disk of a machine, whatever process uses it.
+// machineDisk is the disk of a machine, independent of the process that uses it.
 type machineDisk struct {
-	mutex    sync.Mutex // held while an operation is executed, never while one waits
+	mutex    sync.Mutex // held during an operation, but not while it waits
 	content  *seglogtest.MemoryDisk
 	fault    schedule.Variant // empty: none
-	repaired chan struct{}    // closed when the fault is over
+	repaired chan struct{}    // closed when the fault ends
 }
 
 func newMachineDisk() *machineDisk { return &machineDisk{content: seglogtest.NewMemoryDisk()} }
 
-// injectFault makes the disk faulty until repair is called.
+// injectFault applies a fault to the disk until repair is called.
 func (d *machineDisk) injectFault(fault schedule.Variant) (repair func()) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	over := make(chan struct{})
-	d.fault, d.repaired = fault, over
+	repaired := make(chan struct{})
+	d.fault, d.repaired = fault, repaired
 	if fault == schedule.DiskFull {
 		d.content.FreeBytes = 0
 	}
 	return func() {
 		d.mutex.Lock()
 		defer d.mutex.Unlock()
-		close(over)
-		if d.repaired == over {
+		close(repaired)
+		if d.repaired == repaired {
 			d.fault, d.repaired = "", nil
 			d.content.FreeBytes = seglogtest.Unlimited
 		}
 	}
 }
 
-// wipe empties the disk; what processes had open is dead.
+// wipe replaces the content with an empty disk; files that were open fail from then on.
 func (d *machineDisk) wipe() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -55,7 +55,7 @@
 	d.reapplyFault()
 }
 
-// losePower leaves what was synced and, by the seed's draws, parts of the rest.
+// losePower keeps synced data and a part of the unsynced data, chosen at random from the seed.
 func (d *machineDisk) losePower(seed uint64) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -63,7 +63,7 @@
 	d.reapplyFault()
 }
 
-// kill leaves the disk as the process left it.
+// kill keeps all data that the process has written, and invalidates its open files.
 func (d *machineDisk) kill() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -71,23 +71,24 @@
 	d.reapplyFault()
 }
 
-// reapplyFault restores the fault, which a restart of the content has cleared.
+// reapplyFault restores a fault that was cleared when the content was restarted or replaced.
 func (d *machineDisk) reapplyFault() {
 	if d.fault == schedule.DiskFull {
 		d.content.FreeBytes = 0
 	}
 }
 
-// processDisk is a machine's disk as one process uses it: it fails once the process is dead, and waits while the process is frozen.
+// processDisk is one process's access to a machine's disk. Operations fail once the process is dead, and block while it is
+// frozen.
 type processDisk struct {
 	disk    *machineDisk
 	process *simnet.Process
-	syncs   func() // called when a sync begins
+	onSync  func() // called when a sync begins
 }
 
 var _ seglog.FileSystem = processDisk{}
 
-// operate executes an operation that takes the given time.
+// operate executes an operation of the given duration.
 func (d processDisk) operate(takes time.Duration, operation func(content *seglogtest.MemoryDisk) error) error {
 	if !d.await(takes) {
 		return seglogtest.ErrPowerLost
@@ -100,19 +101,19 @@
 	return operation(d.disk.content)
 }
 
-// await waits until the operation is done. It is false if the process ends before.
+// await waits for the operation's duration, including any delay from a disk fault. It returns false if the process ends first.
 func (d processDisk) await(takes time.Duration) bool {
 	d.disk.mutex.Lock()
-	fault, over := d.disk.fault, d.disk.repaired
+	fault, repaired := d.disk.fault, d.disk.repaired
 	d.disk.mutex.Unlock()
 	switch fault {
 	case schedule.DiskHang:
 		select {
-		case <-over:
+		case <-repaired:
 		case <-d.process.Ended():
 		}
 	case schedule.DiskSlow:
-		takes = slowFactor * max(takes, syncTime)
+		takes = slowDiskFactor * max(takes, syncLatency)
 	}
 	if takes > 0 {
 		time.Sleep(takes)
@@ -169,11 +170,11 @@
 }
 
 func (d processDisk) SyncDirectory(directory string) error {
-	d.syncs()
-	return d.operate(syncTime, func(content *seglogtest.MemoryDisk) error { return content.SyncDirectory(directory) })
+	d.onSync()
+	return d.operate(syncLatency, func(content *seglogtest.MemoryDisk) error { return content.SyncDirectory(directory) })
 }
 
-// processFile is an open file of a process.
+// processFile is a file that a process has opened.
 type processFile struct {
 	disk processDisk
 	file seglog.File
@@ -192,8 +193,8 @@
 }
 
 func (f processFile) Sync() error {
-	f.disk.syncs()
-	return f.disk.operate(syncTime, func(*seglogtest.MemoryDisk) error { return f.file.Sync() })
+	f.disk.onSync()
+	return f.disk.operate(syncLatency, func(*seglogtest.MemoryDisk) error { return f.file.Sync() })
 }
 
 func (f processFile) Close() error { return f.file.Close() }
--- a/internal/testkit/controlplanesim/doc.go
+++ b/internal/testkit/controlplanesim/doc.go
@@ -1,8 +1,9 @@
-// Package controlplanesim runs the real code of the control plane in one process, on the fake clock of a testing/synctest
-// bubble: servers with their disks, agents, and the views that proxies take from them. Package simnet fakes the
-// network and package seglogtest for the disks; operators and workers are scripted as the protocol page says. A schedule has
-// the events, and the recorded history is checked at the end.
+// Package controlplanesim is a simulation test of the control plane. It runs the production code in one process, on the
+// fake clock of a testing/synctest bubble: servers with their disks, agents, and the views that proxies build from them.
+// Package simnet simulates the network and package seglogtest the disks. Operators and workers are scripted and follow the
+// documented protocol. A schedule defines the faults and client actions; the recorded history is checked at the end.
 //
-// One seed gives nearly the same run each time: chance is drawn from the seed, and deliveries have distinct instants. What
-// the Go scheduler and its selects choose among events of one instant is not drawn.
+// Runs with the same seed are nearly identical: random values are derived from the seed, and messages are delivered at
+// distinct times. Not determined by the seed is the order in which the Go scheduler and select statements handle events
+// that occur at the same time.
 package controlplanesim
--- a/internal/testkit/controlplanesim/edge.go
+++ b/internal/testkit/controlplanesim/edge.go
@@ -20,34 +20,34 @@
 	"ospreybend/internal/util/bootconfig"
 )
 
-// beyondEveryRun is a time that no run reaches.
-const beyondEveryRun = 24 * time.Hour
+// unreachableTimeout is longer than any run.
+const unreachableTimeout = 24 * time.Hour
 
-// edge is a machine of the edge: an agent, and the view that its proxy takes.
+// edge is an edge machine with an agent and a proxy, of which only the fleet view is simulated.
 type edge struct {
-	world     *world
-	index     int
-	ip        string
-	processes [2]*simnet.Process // of the agent and the proxy
+	simulation *simulation
+	index      int
+	ip         string
+	processes  [2]*simnet.Process // of the agent and the proxy
 }
 
-// run runs both processes until ctx ends.
+// run starts both processes, which run until ctx ends.
 func (e *edge) run(ctx context.Context) {
-	own, proxy := e.world.network.NewProcess(e.ip), e.world.network.NewProcess(e.ip)
+	own, proxy := e.simulation.network.NewProcess(e.ip), e.simulation.network.NewProcess(e.ip)
 	e.processes = [2]*simnet.Process{own, proxy}
-	e.world.running.Go(func() {
+	e.simulation.goroutines.Go(func() {
 		options := agent.Options{
-			Dial: own.Dial, Listen: own.Listen, Random: e.world.sharedRandom("agent", e.index), IntervalOrigin: time.Now(),
+			Dial: own.Dial, Listen: own.Listen, Random: e.simulation.sharedRandom("agent", e.index), IntervalOrigin: time.Now(),
 		}
-		if e.world.omissions.leaveStale {
-			options.StaleTimeout = beyondEveryRun
+		if e.simulation.omissions.leaveStale {
+			options.StaleTimeout = unreachableTimeout
 		}
-		if err := agent.RunWith(ctx, e.settings(), options, e.world.log.With(zap.String("machine", e.ip))); err != nil {
-			e.world.record.addFault("an agent ended by itself: " + err.Error())
+		if err := agent.RunWith(ctx, e.settings(), options, e.simulation.log.With(zap.String("machine", e.ip))); err != nil {
+			e.simulation.record.addFault("an agent exited unexpectedly: " + err.Error())
 		}
 		own.Kill()
 	})
-	e.world.running.Go(func() {
+	e.simulation.goroutines.Go(func() {
 		_ = e.client(proxy).Run(ctx)
 		proxy.Kill()
 	})
@@ -57,16 +57,16 @@
 	config := bootconfig.Defaults()
 	config.NodeName, config.IP, config.Zone, config.Region = e.name(), e.ip, "zone", "region"
 	config.PortRange = [2]int{peerPort, peerPort + 15}
-	config.Seeds = e.world.seeds()
+	config.Seeds = e.simulation.seeds()
 	return config
 }
 
 func (e *edge) name() string { return "edge-" + e.ip }
 
-// client is the reader of the feed that a proxy is.
+// client returns the feed client of the proxy.
 func (e *edge) client(process *simnet.Process) *feedtransport.Client {
 	config := e.settings()
-	random := e.world.random("proxy", e.index)
+	random := e.simulation.random("proxy", e.index)
 	return feedtransport.NewClient(feedtransport.ClientOptions{
 		Hello: feedtransport.Hello{Node: e.name(), Zone: "zone", Region: "region", IP: e.ip, Role: feedtransport.RoleProxy, Incarnation: random.Uint64()},
 		Selector: feedtransport.SelectorOptions{
@@ -74,60 +74,60 @@
 		},
 		Dial:   process.Dial,
 		Random: random.Float64,
-	}, newFollower(e))
+	}, newViewRecorder(e))
 }
 
-// follower makes views as a proxy does, and records what they show.
-type follower struct {
-	edge      *edge
-	builder   *fleetview.Builder
-	complete  bool
-	published history.View
-	recorded  map[string]history.State // of workers, as recorded
-	items     map[shards.ID]map[string]history.State
+// viewRecorder builds views from the feed as a proxy does, and records their content.
+type viewRecorder struct {
+	edge           *edge
+	builder        *fleetview.Builder
+	complete       bool
+	published      history.View
+	recordedStates map[string]history.State // last recorded state of each worker instance
+	itemStates     map[shards.ID]map[string]history.State
 }
 
-func newFollower(e *edge) *follower {
-	return &follower{
-		edge: e, builder: fleetview.NewBuilder(), recorded: make(map[string]history.State),
-		items: make(map[shards.ID]map[string]history.State),
+func newViewRecorder(e *edge) *viewRecorder {
+	return &viewRecorder{
+		edge: e, builder: fleetview.NewBuilder(), recordedStates: make(map[string]history.State),
+		itemStates: make(map[shards.ID]map[string]history.State),
 	}
 }
 
 // Snapshot implements feedtransport.Handler.
-func (f *follower) Snapshot(shard shards.ID, snapshot feed.Snapshot) {
+func (f *viewRecorder) Snapshot(shard shards.ID, snapshot feed.Snapshot) {
 	before := f.builder.Indexes()[shard]
 	f.builder.ApplySnapshot(shard, snapshot)
 	if shard == shards.ConfigurationShard || snapshot.Index <= before {
 		return
 	}
-	f.items[shard] = make(map[string]history.State)
+	f.itemStates[shard] = make(map[string]history.State)
 	f.applyItems(shard, snapshot.Items)
 }
 
 // Change implements feedtransport.Handler.
-func (f *follower) Change(shard shards.ID, change feed.Change) {
+func (f *viewRecorder) Change(shard shards.ID, change feed.Change) {
 	before := f.builder.Indexes()[shard]
 	f.builder.ApplyChange(shard, change)
 	if shard == shards.ConfigurationShard || change.Index <= before {
 		return
 	}
 	for _, key := range change.Delete {
-		delete(f.items[shard], key)
+		delete(f.itemStates[shard], key)
 	}
 	f.applyItems(shard, change.Put)
 }
 
-func (f *follower) applyItems(shard shards.ID, items []feed.Item) {
-	if f.items[shard] == nil {
-		f.items[shard] = make(map[string]history.State)
+func (f *viewRecorder) applyItems(shard shards.ID, items []feed.Item) {
+	if f.itemStates[shard] == nil {
+		f.itemStates[shard] = make(map[string]history.State)
 	}
 	for _, item := range items {
 		instance, err := registry.DecodeItem(item.Value)
 		if err != nil || instance.Service == registry.NodesService {
 			continue
 		}
-		f.items[shard][item.Key] = stateOf(instance)
+		f.itemStates[shard][item.Key] = stateOf(instance)
 	}
 }
 
@@ -139,29 +139,29 @@
 }
 
 // BatchDone implements feedtransport.BatchHandler.
-func (f *follower) BatchDone() { f.publish() }
+func (f *viewRecorder) BatchDone() { f.publish() }
 
-// Status implements feedtransport.Handler: no view is published before the first one.
-func (f *follower) Status(feedtransport.Status) {
+// Status implements feedtransport.Handler. No view is published before the first status.
+func (f *viewRecorder) Status(feedtransport.Status) {
 	f.complete = true
 	f.publish()
 }
 
 // Connected implements feedtransport.Handler.
-func (f *follower) Connected(string) {}
+func (f *viewRecorder) Connected(string) {}
 
 // Disconnected implements feedtransport.Handler.
-func (f *follower) Disconnected(error) {}
+func (f *viewRecorder) Disconnected(error) {}
 
-// publish records what the view shows now, if that has changed.
-func (f *follower) publish() {
+// publish records the content of the current view if it has changed.
+func (f *viewRecorder) publish() {
 	if !f.complete {
 		return
 	}
-	record := f.edge.world.record
+	record := f.edge.simulation.record
 	view := f.builder.View()
 	now := history.View{Agent: f.edge.index, Incarnation: 1, At: record.now(), Generation: view.Generation}
-	if mark := view.Services[markService]; mark != nil {
+	if mark := view.Services[orderMarkerService]; mark != nil {
 		now.Order = strings.TrimPrefix(mark.HealthPath, "/")
 	}
 	if now.Generation != f.published.Generation || now.Order != f.published.Order {
@@ -171,25 +171,25 @@
 	f.publishStates(now.At)
 }
 
-func (f *follower) publishStates(at time.Duration) {
+func (f *viewRecorder) publishStates(at time.Duration) {
 	states := make(map[string]history.State)
-	for _, items := range f.items {
+	for _, items := range f.itemStates {
 		maps.Copy(states, items)
 	}
-	for _, id := range slices.Sorted(maps.Keys(f.recorded)) {
+	for _, id := range slices.Sorted(maps.Keys(f.recordedStates)) {
 		if _, there := states[id]; !there {
 			f.recordState(at, id, history.Absent)
-			delete(f.recorded, id)
+			delete(f.recordedStates, id)
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(states)) {
-		if f.recorded[id] != states[id] {
-			f.recorded[id] = states[id]
+		if f.recordedStates[id] != states[id] {
+			f.recordedStates[id] = states[id]
 			f.recordState(at, id, states[id])
 		}
 	}
 }
 
-func (f *follower) recordState(at time.Duration, id string, state history.State) {
-	f.edge.world.record.addPresence(history.Presence{Agent: f.edge.index, Incarnation: 1, At: at, Instance: id, State: state})
+func (f *viewRecorder) recordState(at time.Duration, id string, state history.State) {
+	f.edge.simulation.record.addPresence(history.Presence{Agent: f.edge.index, Incarnation: 1, At: at, Instance: id, State: state})
 }
--- a/internal/testkit/controlplanesim/events.go
+++ b/internal/testkit/controlplanesim/events.go
@@ -13,155 +13,156 @@
 
 // Times within events.
 const (
-	handOverPause = 300 * time.Millisecond // between the start of a successor and the SIGTERM of the old machine
-	slowDelay     = 400 * time.Millisecond // of a slow link
+	replacementOverlap = 300 * time.Millisecond // between the start of the successor and the SIGTERM to the old machine
+	slowLinkDelay      = 400 * time.Millisecond // additional delay of a slow link
 )
 
-// playEvents carries all events out, each at its time, and returns when all are over.
-func (w *world) playEvents(ctx context.Context) {
-	ctx, stop := context.WithTimeout(ctx, w.schedule.End()+recoveryTime-w.record.now())
-	defer stop() // orders of a core that is lost for good would be sent for ever
+// playEvents executes all events at their times and returns when all have ended.
+func (sim *simulation) playEvents(ctx context.Context) {
+	ctx, stop := context.WithTimeout(ctx, sim.schedule.End()+recoveryTime-sim.record.now())
+	defer stop() // if the core never recovers, operators would retry their orders forever
 	var playing sync.WaitGroup
-	for _, event := range w.schedule.Events {
-		playing.Go(func() { w.playEvent(ctx, event) })
+	for _, event := range sim.schedule.Events {
+		playing.Go(func() { sim.playEvent(ctx, event) })
 	}
-	if left := w.schedule.Length - w.record.now(); left > 0 {
-		time.Sleep(left)
+	if remaining := sim.schedule.Length - sim.record.now(); remaining > 0 {
+		time.Sleep(remaining)
 	}
 	playing.Wait()
 }
 
-func (w *world) playEvent(ctx context.Context, event schedule.Event) {
-	time.Sleep(event.At - w.record.now())
-	if event.On != "" && !w.awaitTrigger(event.On, event.Servers) {
+func (sim *simulation) playEvent(ctx context.Context, event schedule.Event) {
+	time.Sleep(event.At - sim.record.now())
+	if event.On != "" && !sim.awaitTrigger(event.On, event.Servers) {
 		return
 	}
 	time.Sleep(event.Delay)
-	event = w.targetLeader(event)
-	if play := w.players()[event.Kind]; play != nil {
+	event = sim.targetLeader(event)
+	if play := sim.players()[event.Kind]; play != nil {
 		play(ctx, event)
 	}
 }
 
-func (w *world) players() map[schedule.Kind]func(context.Context, schedule.Event) {
+func (sim *simulation) players() map[schedule.Kind]func(context.Context, schedule.Event) {
 	return map[schedule.Kind]func(context.Context, schedule.Event){
-		schedule.Kill:        w.playDown((*machine).kill),
-		schedule.Power:       w.playDown((*machine).losePower),
-		schedule.Wipe:        w.playDown((*machine).wipe),
-		schedule.Freeze:      w.playFreeze,
-		schedule.Cut:         w.playCut,
-		schedule.Replace:     w.playReplace,
-		schedule.Disk:        w.playDisk,
-		schedule.Link:        w.playLink,
-		schedule.KillAll:     w.playAllDown((*machine).kill),
-		schedule.PowerAll:    w.playAllDown((*machine).losePower),
-		schedule.RestartAll:  w.playAllDown((*machine).terminate),
-		schedule.Roll:        w.playRoll,
-		schedule.LoseReplies: w.playLoseReplies,
-		schedule.Race:        w.playRace,
-		schedule.Burst:       w.playBurst,
-		schedule.Bad:         w.playBad,
-		schedule.Worker:      w.playWorkers,
-		schedule.Quota:       w.playQuota,
-		schedule.Stall:       w.playStall,
-		schedule.Rewipe:      w.playRewipe,
+		schedule.Kill:        sim.playStop((*machine).kill),
+		schedule.Power:       sim.playStop((*machine).losePower),
+		schedule.Wipe:        sim.playStop((*machine).wipe),
+		schedule.Freeze:      sim.playFreeze,
+		schedule.Cut:         sim.playCut,
+		schedule.Replace:     sim.playReplace,
+		schedule.Disk:        sim.playDisk,
+		schedule.Link:        sim.playLink,
+		schedule.KillAll:     sim.playStopAll((*machine).kill),
+		schedule.PowerAll:    sim.playStopAll((*machine).losePower),
+		schedule.RestartAll:  sim.playStopAll((*machine).terminate),
+		schedule.Roll:        sim.playRoll,
+		schedule.LoseReplies: sim.playLoseReplies,
+		schedule.Race:        sim.playRace,
+		schedule.Burst:       sim.playBurst,
+		schedule.Bad:         sim.playBad,
+		schedule.Worker:      sim.playWorkers,
+		schedule.Quota:       sim.playQuota,
+		schedule.Stall:       sim.playStall,
+		schedule.Rewipe:      sim.playRewipe,
 	}
 }
 
-// beginCoreFault records a fault of the core; over records its end.
-func (w *world) beginCoreFault(event schedule.Event, lost []int) (over func()) {
-	return w.record.beginFault(history.Fault{What: event.String(), Core: true, Lost: lost})
+// beginCoreFault records a fault of the core. The function returned records its end.
+func (sim *simulation) beginCoreFault(event schedule.Event, lost []int) (endFault func()) {
+	return sim.record.beginFault(history.Fault{What: event.String(), Core: true, Lost: lost})
 }
 
-// playDown takes machines down in a way, and starts them again.
-func (w *world) playDown(down func(*machine)) func(context.Context, schedule.Event) {
+// playStop stops machines with the given function and starts them again after the event's duration.
+func (sim *simulation) playStop(down func(*machine)) func(context.Context, schedule.Event) {
 	return func(_ context.Context, event schedule.Event) {
-		over := w.beginCoreFault(event, event.Servers)
-		struck := w.machinesAt(event.Servers)
-		for _, m := range struck {
+		endFault := sim.beginCoreFault(event, event.Servers)
+		targets := sim.machinesAt(event.Servers)
+		for _, m := range targets {
 			down(m)
 		}
 		time.Sleep(event.For)
-		w.startAll(struck)
-		over()
+		sim.startAll(targets)
+		endFault()
 	}
 }
 
-// startAll starts those of the machines that are down and still have their slot.
-func (w *world) startAll(machines []*machine) {
+// startAll starts the given machines, except those that are running or have been replaced in their slot.
+func (sim *simulation) startAll(machines []*machine) {
 	for _, m := range machines {
 		if !m.isRetired() {
-			m.start(w.seeds(), false)
+			m.start(sim.seeds(), false)
 		}
 	}
 }
 
-// playAllDown takes all of the core down; the event's servers lose their disks too.
-func (w *world) playAllDown(down func(*machine)) func(context.Context, schedule.Event) {
+// playStopAll stops all machines of the core; the event's servers lose their disks too.
+func (sim *simulation) playStopAll(down func(*machine)) func(context.Context, schedule.Event) {
 	return func(_ context.Context, event schedule.Event) {
-		over := w.record.beginFault(history.Fault{What: event.String(), Core: true, Lasting: true, Lost: w.allSlots()})
-		all := w.currentMachines()
-		var going sync.WaitGroup
+		endFault := sim.record.beginFault(history.Fault{What: event.String(), Core: true, Lasting: true, Lost: sim.allSlots()})
+		all := sim.currentMachines()
+		var pending sync.WaitGroup
 		for _, m := range all {
-			going.Go(func() {
+			pending.Go(func() {
 				down(m)
 				if slices.Contains(event.Servers, m.slot) {
 					m.wipe()
 				}
 			})
 		}
-		going.Wait()
+		pending.Wait()
 		time.Sleep(event.For)
-		w.startAll(all)
-		over()
+		sim.startAll(all)
+		endFault()
 	}
 }
 
-func (w *world) allSlots() []int {
-	all := make([]int, w.schedule.Servers)
+func (sim *simulation) allSlots() []int {
+	all := make([]int, sim.schedule.Servers)
 	for slot := range all {
 		all[slot] = slot
 	}
 	return all
 }
 
-func (w *world) playFreeze(_ context.Context, event schedule.Event) {
-	over := w.record.beginFault(history.Fault{
+func (sim *simulation) playFreeze(_ context.Context, event schedule.Event) {
+	endFault := sim.record.beginFault(history.Fault{
 		What: event.String(), Core: len(event.Servers) > 0, Agents: event.Agents, Lost: event.Servers,
 	})
-	var thaw []func()
-	for _, m := range w.machinesAt(event.Servers) {
-		thaw = append(thaw, m.freeze())
+	var thawAll []func()
+	for _, m := range sim.machinesAt(event.Servers) {
+		thawAll = append(thawAll, m.freeze())
 	}
 	for _, i := range event.Agents {
-		for _, process := range w.edges[i].processes {
+		for _, process := range sim.edges[i].processes {
 			process.Freeze()
-			thaw = append(thaw, process.Thaw)
+			thawAll = append(thawAll, process.Thaw)
 		}
 	}
 	time.Sleep(event.For)
-	for _, end := range thaw {
+	for _, end := range thawAll {
 		end()
 	}
-	over()
+	endFault()
 }
 
-// playCut cuts machines off; the operators and workers that it names reach these alone. With Restart their processes are restarted meanwhile, and know only each other.
-func (w *world) playCut(_ context.Context, event schedule.Event) {
-	struck := w.machinesAt(event.Servers)
-	over := w.record.beginFault(history.Fault{
-		What: event.String(), Core: true, Agents: event.Agents, Lost: event.Servers, Isolated: addressesOf(struck), Lease: cutLease(event.Variant, len(event.Servers)),
+// playCut isolates machines. The event's operators and workers reach only these machines. With Restart, the machines'
+// processes are restarted during the cut and have only each other as seeds.
+func (sim *simulation) playCut(_ context.Context, event schedule.Event) {
+	targets := sim.machinesAt(event.Servers)
+	endFault := sim.record.beginFault(history.Fault{
+		What: event.String(), Core: true, Agents: event.Agents, Lost: event.Servers, Isolated: addressesOf(targets), Lease: cutLease(event.Variant, len(event.Servers)),
 	})
-	heal := w.network.Cut(w.blockedPaths(event, struck))
-	w.restrictTo(event, struck)
+	heal := sim.network.Cut(sim.blockedPaths(event, targets))
+	sim.restrictTo(event, targets)
 	if event.Restart {
-		w.restartBehind(event, struck)
+		sim.restartDuringCut(event, targets)
 	} else {
 		time.Sleep(event.For)
 	}
 	heal()
-	w.restrictTo(event, nil)
-	over()
+	sim.restrictTo(event, nil)
+	endFault()
 }
 
 func addressesOf(machines []*machine) []string {
@@ -172,17 +173,18 @@
 	return addresses
 }
 
-// Times for which servers that are partitioned off may know that they are current.
+// Times for which isolated servers may still consider their state current.
 const (
 	isolatedLease = 1200 * time.Millisecond
-	// A follower that is partitioned off together with its leader is current for as long after that one's last heartbeat, which
-	// it sends until it steps down.
-	leaderStepDownTime = 620 * time.Millisecond // of an election time-out, noticed at a heartbeat
-	// A follower whose messages are lost is current for as long as the leader's connection to it lasts, which is not acknowledged.
+	// A follower that is isolated together with its leader stays current for isolatedLease after the leader's last heartbeat.
+	// The leader sends heartbeats until it steps down.
+	leaderStepDownTime = 620 * time.Millisecond // one election timeout, checked at each heartbeat
+	// A follower whose messages are lost stays current until the leader's connection to it times out for lack of
+	// acknowledgements.
 	outwardLease = 2500 * time.Millisecond
 )
 
-// cutLease returns for how long servers that are cut off together may still acknowledge what changes nothing.
+// cutLease returns how long servers that are isolated together may still answer calls that change nothing.
 func cutLease(variant schedule.Variant, servers int) time.Duration {
 	lease := isolatedLease
 	if variant == schedule.CutOutward {
@@ -194,48 +196,48 @@
 	return lease
 }
 
-// restrictTo lets the event's operators and workers reach the given machines alone; nil lifts the restriction.
-func (w *world) restrictTo(event schedule.Event, reachable []*machine) {
+// restrictTo limits the event's operators and workers to the given machines; nil lifts the restriction.
+func (sim *simulation) restrictTo(event schedule.Event, reachable []*machine) {
 	for _, i := range event.Operators {
-		w.operators[i].restrictTo(reachable)
+		sim.operators[i].restrictTo(reachable)
 	}
 	for _, i := range event.Workers {
-		w.workers[i].restrictTo(reachable)
+		sim.workers[i].restrictTo(reachable)
 	}
 }
 
-// restartBehind kills and starts the machines behind a cut whose seeds are just these. One that is no member of a group
-// yet keeps its seeds: it would learn of no other server, and none knows it.
-func (w *world) restartBehind(event schedule.Event, struck []*machine) {
+// restartDuringCut restarts the isolated machines with only each other as seeds. A machine that is not yet a member of a
+// group keeps the regular seeds: no server knows its address, so it could never learn of the servers outside the cut.
+func (sim *simulation) restartDuringCut(event schedule.Event, targets []*machine) {
 	var seeds []string
-	for _, m := range struck {
+	for _, m := range targets {
 		seeds = append(seeds, controlAddress(m.ip))
 	}
 	time.Sleep(event.For / 3)
-	taken := make(map[*machine]bool)
-	for _, m := range struck {
-		taken[m] = m.isMember()
+	wasMember := make(map[*machine]bool)
+	for _, m := range targets {
+		wasMember[m] = m.isMember()
 		m.kill()
 	}
 	time.Sleep(event.For / 10)
-	for _, m := range struck {
-		if taken[m] {
+	for _, m := range targets {
+		if wasMember[m] {
 			m.start(seeds, false)
 		} else {
-			m.start(w.seeds(), false)
+			m.start(sim.seeds(), false)
 		}
 	}
 	time.Sleep(event.For - event.For/3 - event.For/10)
 }
 
-// blockedPaths returns which paths a cut blocks.
-func (w *world) blockedPaths(event schedule.Event, struck []*machine) func(simnet.Path) bool {
+// blockedPaths returns a function that reports whether a cut blocks a path.
+func (sim *simulation) blockedPaths(event schedule.Event, targets []*machine) func(simnet.Path) bool {
 	inside := make(map[string]bool)
-	for _, m := range struck {
+	for _, m := range targets {
 		inside[m.ip] = true
 	}
 	for _, i := range event.Agents {
-		inside[w.edges[i].ip] = true
+		inside[sim.edges[i].ip] = true
 	}
 	crosses := func(p simnet.Path) bool { return inside[p.From] != inside[p.To] }
 	switch event.Variant {
@@ -251,107 +253,107 @@
 	return func(p simnet.Path) bool { return crosses(p) && isMachine(p.From) && isMachine(p.To) }
 }
 
-// playReplace has an empty machine at another address take a machine's slot.
-func (w *world) playReplace(_ context.Context, event schedule.Event) {
-	over := w.beginCoreFault(event, event.Servers)
-	var going sync.WaitGroup
+// playReplace replaces machines in their slots by empty ones at other addresses.
+func (sim *simulation) playReplace(_ context.Context, event schedule.Event) {
+	endFault := sim.beginCoreFault(event, event.Servers)
+	var pending sync.WaitGroup
 	for _, slot := range event.Servers {
-		going.Go(func() {
+		pending.Go(func() {
 			if event.Variant == schedule.Planned {
-				w.replacePlanned(slot)
+				sim.replacePlanned(slot)
 			} else {
-				w.replaceLost(slot, event.For)
+				sim.replaceLost(slot, event.For)
 			}
 		})
 	}
-	going.Wait()
-	over()
+	pending.Wait()
+	endFault()
 }
 
-func (w *world) replacePlanned(slot int) {
-	old, successor := w.replaceMachine(slot)
-	successor.start(w.seeds(), false)
-	time.Sleep(handOverPause)
+func (sim *simulation) replacePlanned(slot int) {
+	old, successor := sim.replaceMachine(slot)
+	successor.start(sim.seeds(), false)
+	time.Sleep(replacementOverlap)
 	old.retire()
 	old.terminate()
 }
 
-// replaceLost has a machine go for good, whatever else would start it again, and its successor come later.
-func (w *world) replaceLost(slot int, after time.Duration) {
-	lost := w.machineAt(slot)
+// replaceLost removes a machine for good, so that no concurrent event restarts it, and starts its successor later.
+func (sim *simulation) replaceLost(slot int, after time.Duration) {
+	lost := sim.machineAt(slot)
 	lost.retire()
 	lost.losePower()
 	time.Sleep(after)
-	old, successor := w.replaceMachine(slot)
-	old.retire() // another machine by now, if two events replace this slot
+	old, successor := sim.replaceMachine(slot)
+	old.retire() // may differ from lost if two events replace this slot
 	old.losePower()
-	successor.start(w.seeds(), false)
+	successor.start(sim.seeds(), false)
 }
 
-func (w *world) playDisk(_ context.Context, event schedule.Event) {
-	over := w.record.beginFault(history.Fault{What: event.String(), Core: true, Lasting: true, Lost: event.Servers})
+func (sim *simulation) playDisk(_ context.Context, event schedule.Event) {
+	endFault := sim.record.beginFault(history.Fault{What: event.String(), Core: true, Lasting: true, Lost: event.Servers})
 	var repairs []func()
-	for _, m := range w.machinesAt(event.Servers) {
+	for _, m := range sim.machinesAt(event.Servers) {
 		repairs = append(repairs, m.disk.injectFault(event.Variant))
 	}
 	time.Sleep(event.For)
 	for _, end := range repairs {
 		end()
 	}
-	over()
+	endFault()
 }
 
-func (w *world) playLink(_ context.Context, event schedule.Event) {
+func (sim *simulation) playLink(_ context.Context, event schedule.Event) {
 	core := len(event.Servers) > 0
-	over := w.record.beginFault(history.Fault{What: event.String(), Core: core, Lasting: core, Agents: event.Agents, Lost: event.Servers})
+	endFault := sim.record.beginFault(history.Fault{What: event.String(), Core: core, Lasting: core, Agents: event.Agents, Lost: event.Servers})
 	hosts := make(map[string]bool)
-	for _, m := range w.machinesAt(event.Servers) {
+	for _, m := range sim.machinesAt(event.Servers) {
 		hosts[m.ip] = true
 	}
 	for _, i := range event.Agents {
-		hosts[w.edges[i].ip] = true
+		hosts[sim.edges[i].ip] = true
 	}
 	touches := func(p simnet.Path) bool { return p.From != p.To && (hosts[p.From] || hosts[p.To]) }
 	switch event.Variant {
 	case schedule.LinkReset:
-		w.network.Reset(touches)
+		sim.network.Reset(touches)
 	case schedule.LinkHold:
-		heal := w.network.Cut(touches)
+		heal := sim.network.Cut(touches)
 		time.Sleep(event.For)
 		heal()
 	case schedule.LinkSlow:
-		heal := w.network.Slow(func(p simnet.Path) time.Duration {
+		heal := sim.network.Slow(func(p simnet.Path) time.Duration {
 			if touches(p) {
-				return slowDelay
+				return slowLinkDelay
 			}
 			return 0
 		})
 		time.Sleep(event.For)
 		heal()
 	}
-	over()
+	endFault()
 }
 
-// playRoll ends and starts machines one after the other.
-func (w *world) playRoll(_ context.Context, event schedule.Event) {
+// playRoll restarts machines one after the other.
+func (sim *simulation) playRoll(_ context.Context, event schedule.Event) {
 	for _, slot := range event.Servers {
 		began := time.Now()
-		over := w.beginCoreFault(event, []int{slot})
-		m := w.machineAt(slot)
+		endFault := sim.beginCoreFault(event, []int{slot})
+		m := sim.machineAt(slot)
 		m.terminate()
-		w.startAll([]*machine{m})
-		over()
+		sim.startAll([]*machine{m})
+		endFault()
 		time.Sleep(event.For - time.Since(began))
 	}
 }
 
-func isServer(ip string) bool { return kindOf(ip) == '0' }
+func isServer(ip string) bool { return machineKind(ip) == '0' }
 
-// isMachine reports whether an IP is one of the system's own machines.
-func isMachine(ip string) bool { return kindOf(ip) == '0' || kindOf(ip) == '1' }
+// isMachine reports whether an IP belongs to a server or an edge machine, not to an operator or worker.
+func isMachine(ip string) bool { return machineKind(ip) == '0' || machineKind(ip) == '1' }
 
-// kindOf returns the digit of an address that encodes the kind of its machine.
-func kindOf(ip string) byte {
+// machineKind returns the digit of the IP that encodes the kind of machine; 0 if the IP is too short.
+func machineKind(ip string) byte {
 	const slot = len("10.")
 	if len(ip) <= slot {
 		return 0
--- a/internal/testkit/controlplanesim/guards.go
+++ b/internal/testkit/controlplanesim/guards.go
@@ -10,17 +10,17 @@
 	"ospreybend/internal/controlplane/server"
 )
 
-// Prefixes of the names of guards, by what they guard.
+// Prefixes of guard names, by component.
 const (
 	serverPrefix        = "keeper."
 	consensusPrefix     = "agreement."
 	configurationPrefix = "configuration."
 )
 
-// GuardLeaveStale has an agent leave a server that is not current.
+// GuardLeaveStale makes an agent disconnect from a server whose state is not current.
 const GuardLeaveStale = "agent.leave-stale"
 
-// Guards lists the names that a schedule can leave out.
+// Guards returns the names of all guards that a schedule can omit.
 func Guards() []string {
 	var names []string
 	for _, guard := range server.Guards() {
@@ -35,7 +35,7 @@
 	return append(names, GuardLeaveStale)
 }
 
-// omissions is what a schedule leaves out, sorted by what it guards.
+// omissions are the guards and rules that a schedule omits, grouped by component.
 type omissions struct {
 	server        []server.Guard
 	consensus     []consensus.Rule
@@ -47,7 +47,7 @@
 	var out omissions
 	for _, name := range names {
 		if !slices.Contains(Guards(), name) {
-			return out, fmt.Errorf("no such guard: %q", name)
+			return out, fmt.Errorf("unknown guard %q in the list of omitted guards", name)
 		}
 		switch {
 		case name == GuardLeaveStale:
--- a/internal/testkit/controlplanesim/machine.go
+++ b/internal/testkit/controlplanesim/machine.go
@@ -15,30 +15,30 @@
 	"ospreybend/internal/util/bootconfig"
 )
 
-// machine is one machine of the core, with its disk and the server that runs on it.
+// machine is a machine of the core, with its disk and the server that runs on it.
 type machine struct {
-	world *world
-	slot  int
-	ip    string
-	disk  *machineDisk
+	simulation *simulation
+	slot       int
+	ip         string
+	disk       *machineDisk
 
 	mutex    sync.Mutex
-	running  *serverProcess // nil: none was started, or it is down
+	running  *serverProcess // nil: not started, or down
 	starts   int
-	memberID consensus.MemberID // of this disk, as the last server had it
-	retired  bool               // another machine has its slot
+	memberID consensus.MemberID // of the current disk, as reported by the last server
+	retired  bool               // replaced by another machine in its slot
 }
 
-// serverProcess is one process of a machine's server, from its start to its end.
+// serverProcess is one run of a machine's server process.
 type serverProcess struct {
 	process *simnet.Process
-	stop    context.CancelFunc // as SIGTERM does
-	ended   chan struct{}      // closed once nothing of it runs any more
-	server  *server.Server     // nil until it is open
-	serving bool               // its API takes calls
+	stop    context.CancelFunc // shuts down as on SIGTERM
+	ended   chan struct{}      // closed when the server has stopped completely
+	server  *server.Server     // nil until opened
+	serving bool               // the API accepts calls
 }
 
-// settings returns the settings file of a start.
+// settings returns the server's settings for one start.
 func (m *machine) settings(seeds []string, bootstrap bool) bootconfig.Settings {
 	config := bootconfig.Defaults()
 	config.NodeName = "core-" + m.ip
@@ -48,11 +48,11 @@
 	config.Seeds, config.Bootstrap = seeds, bootstrap
 	config.DataDir = "/data"
 	config.HeartbeatMs = int(heartbeatInterval / time.Millisecond)
-	config.FaultTolerance.Machines = m.world.schedule.Tolerance
+	config.FaultTolerance.Machines = m.simulation.schedule.Tolerance
 	return config
 }
 
-// start starts a server unless one is running or the machine's slot has gone to another.
+// start starts a server unless one is running or another machine has taken the slot.
 func (m *machine) start(seeds []string, bootstrap bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -60,13 +60,13 @@
 		return
 	}
 	m.starts++
-	m.world.network.SetPower(m.ip, true)
+	m.simulation.network.SetPower(m.ip, true)
 	ctx, cancel := context.WithCancel(context.Background())
-	incarnation := &serverProcess{process: m.world.network.NewProcess(m.ip), stop: cancel, ended: make(chan struct{})}
+	incarnation := &serverProcess{process: m.simulation.network.NewProcess(m.ip), stop: cancel, ended: make(chan struct{})}
 	m.running = incarnation
 	environment := m.environment(incarnation, m.starts)
 	config := m.settings(seeds, bootstrap)
-	m.world.running.Go(func() {
+	m.simulation.goroutines.Go(func() {
 		defer close(incarnation.ended)
 		defer cancel()
 		m.run(ctx, incarnation, config, environment)
@@ -74,32 +74,32 @@
 }
 
 func (m *machine) environment(incarnation *serverProcess, start int) server.Environment {
-	w := m.world
+	sim := m.simulation
 	return server.Environment{
-		FileSystem:      processDisk{disk: m.disk, process: incarnation.process, syncs: func() { w.diskSyncs(m) }},
+		FileSystem:      processDisk{disk: m.disk, process: incarnation.process, onSync: func() { sim.notifySync(m) }},
 		Now:             incarnation.process.Now,
-		Random:          w.sharedRandom("keeper "+m.ip, start),
+		Random:          sim.sharedRandom("keeper "+m.ip, start),
 		Dial:            incarnation.process.Dial,
 		Listen:          incarnation.process.Listen,
-		OnGroupStatus:   func(status replica.Status) { w.record.observe(m, status) },
-		SnapshotEntries: uint64(w.schedule.SnapshotEntries), RememberedChanges: w.schedule.Remembered,
-		OmitGuards: w.omissions.server, OmitConsensusRules: w.omissions.consensus, OmitConfigurationRules: w.omissions.configuration,
+		OnGroupStatus:   func(status replica.Status) { sim.record.observe(m, status) },
+		SnapshotEntries: uint64(sim.schedule.SnapshotEntries), RememberedChanges: sim.schedule.Remembered,
+		OmitGuards: sim.omissions.server, OmitConsensusRules: sim.omissions.consensus, OmitConfigurationRules: sim.omissions.configuration,
 	}
 }
 
-// run opens and serves the server until its process ends.
+// run opens the server and serves until its process ends.
 func (m *machine) run(ctx context.Context, incarnation *serverProcess, config bootconfig.Settings, environment server.Environment) {
-	opened, err := server.Open(ctx, config, environment, m.world.log.With(zap.String("machine", m.ip)))
+	opened, err := server.Open(ctx, config, environment, m.simulation.log.With(zap.String("machine", m.ip)))
 	if err == nil {
 		m.mutex.Lock()
 		incarnation.server, m.memberID = opened, opened.Self().ID
 		m.mutex.Unlock()
-		m.world.record.addMember(opened.Self().ID, m)
+		m.simulation.record.addMember(opened.Self().ID, m)
 		err = opened.Serve(ctx, &apiServer{machine: m, incarnation: incarnation, stop: make(chan struct{})})
 		opened.Close()
 	}
 	if !incarnation.process.Dead() && ctx.Err() == nil {
-		m.world.record.addFault("the server of " + m.ip + " ended by itself: " + errorText(err))
+		m.simulation.record.addFault("the server of " + m.ip + " exited unexpectedly: " + errorText(err))
 	}
 	incarnation.process.Kill()
 	m.processEnded(incarnation)
@@ -112,7 +112,7 @@
 	return err.Error()
 }
 
-// processEnded records that a process has ended.
+// processEnded marks the machine as down if the ended process was its current one.
 func (m *machine) processEnded(incarnation *serverProcess) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -121,8 +121,8 @@
 	}
 }
 
-// takeProcess detaches the running process, so that another may be started, and returns it, or nil.
-func (m *machine) takeProcess() *serverProcess {
+// detachProcess detaches the running process, so that another can be started, and returns it; nil if none is running.
+func (m *machine) detachProcess() *serverProcess {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	incarnation := m.running
@@ -133,22 +133,22 @@
 	return incarnation
 }
 
-// kill ends the process; its disk stays.
+// kill kills the process; the disk keeps its content.
 func (m *machine) kill() {
-	if incarnation := m.takeProcess(); incarnation != nil {
+	if incarnation := m.detachProcess(); incarnation != nil {
 		incarnation.process.Kill()
 		m.disk.kill()
 		incarnation.stop()
 	}
 }
 
-// losePower ends the process without notice; what was not synced may be lost.
+// losePower ends the process abruptly; unsynced data may be lost.
 func (m *machine) losePower() {
 	m.mutex.Lock()
-	draws := m.world.random("power "+m.ip, m.starts)
+	draws := m.simulation.random("power "+m.ip, m.starts)
 	m.mutex.Unlock()
-	incarnation := m.takeProcess()
-	m.world.network.SetPower(m.ip, false)
+	incarnation := m.detachProcess()
+	m.simulation.network.SetPower(m.ip, false)
 	if incarnation != nil {
 		incarnation.process.LosePower()
 	}
@@ -158,17 +158,17 @@
 	}
 }
 
-// wipe loses the disk, and the process with it if it runs.
+// wipe erases the disk and ends the process if one is running.
 func (m *machine) wipe() {
 	m.losePower()
 	m.disk.wipe()
 	m.mutex.Lock()
 	lost := m.memberID
 	m.mutex.Unlock()
-	m.world.record.markGone(lost)
+	m.simulation.record.markDiskLost(lost)
 }
 
-// terminate ends the process as SIGTERM does, and after the time of grace as SIGKILL does.
+// terminate ends the process as SIGTERM does, and kills it after terminationGrace.
 func (m *machine) terminate() {
 	m.mutex.Lock()
 	incarnation := m.running
@@ -198,7 +198,7 @@
 	return process.Thaw
 }
 
-// serving returns the server whose API takes calls, and its process.
+// serving returns the server and its process if the API accepts calls; nil otherwise.
 func (m *machine) serving() (*server.Server, *simnet.Process) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -208,7 +208,7 @@
 	return m.running.server, m.running.process
 }
 
-// inspect returns the state of the server's groups, nil if it has none.
+// inspect returns the state of the server's groups; nil if no server is open.
 func (m *machine) inspect() []replica.Status {
 	m.mutex.Lock()
 	var opened *server.Server
@@ -222,21 +222,21 @@
 	return opened.Inspect()
 }
 
-// apiServer is the fake HTTP server of a control plane server.
+// apiServer stands in for the HTTP server of a control plane server.
 type apiServer struct {
 	machine     *machine
 	incarnation *serverProcess
 	stop        chan struct{}
 }
 
-// Run takes calls until Shutdown.
+// Run accepts calls until Shutdown.
 func (s *apiServer) Run() error {
 	s.set(true)
 	<-s.stop
 	return nil
 }
 
-// Shutdown takes no more calls.
+// Shutdown stops accepting calls.
 func (s *apiServer) Shutdown(context.Context) error {
 	s.set(false)
 	close(s.stop)
--- a/internal/testkit/controlplanesim/operator.go
+++ b/internal/testkit/controlplanesim/operator.go
@@ -16,23 +16,23 @@
 const (
 	minPause            = 300 * time.Millisecond // between two orders
 	maxPause            = 1500 * time.Millisecond
-	minBackoff          = 100 * time.Millisecond // between two attempts, doubled with each up to the last
+	minBackoff          = 100 * time.Millisecond // between two attempts; doubles with each attempt up to maxBackoff
 	maxBackoff          = time.Second
-	readShare           = 4 // one of so many steps is a read
-	maxGenerationStep   = 5 // of generations
-	maxRejectedAttempts = 3 // attempt at which any 4xx ends the call
+	stepsPerRead        = 4 // on average, one of this many steps is a read
+	maxGenerationStep   = 5 // by which an order raises the generation
+	maxRejectedAttempts = 3 // attempt from which on any 4xx but 408 and 429 ends the call
 )
 
-// operator sends orders and reads, as the protocol page says.
+// operator is a simulated operator that changes and reads the configuration as the protocol documents.
 type operator struct {
 	caller
 	index int
 
 	// Guarded by the caller's mutex.
-	knownGeneration uint64 // the newest generation that it has seen
-	orders          int
+	knownGeneration uint64 // newest generation that the operator has seen
+	orderCount      int
 	newest          order
-	older           []order // accepted ones before the newest, some of them
+	older           []order // sample of the orders accepted before the newest
 }
 
 // run sends orders one after the other until ctx ends. The first operator sends the first configuration.
@@ -41,7 +41,7 @@
 		o.send(ctx, o.makeOrder(0))
 	}
 	for simnet.Sleep(ctx, minPause+o.randomDuration(maxPause-minPause)) {
-		if o.draw(readShare) == 0 || o.base() == 0 {
+		if o.draw(stepsPerRead) == 0 || o.base() == 0 {
 			o.read(ctx, o.pickServer())
 			continue
 		}
@@ -49,7 +49,7 @@
 	}
 }
 
-// readForever reads from one server after the other until ctx ends.
+// readForever reads from randomly chosen servers until ctx ends.
 func (o *operator) readForever(ctx context.Context) {
 	for simnet.Sleep(ctx, minPause+o.randomDuration(minPause+1)) {
 		o.read(ctx, o.pickServer())
@@ -68,7 +68,7 @@
 	return o.knownGeneration
 }
 
-// makeOrder makes a new order on top of a generation.
+// makeOrder returns a new order based on a generation: a complete configuration or an update.
 func (o *operator) makeOrder(base uint64) order {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -80,8 +80,8 @@
 }
 
 func (o *operator) nextName() string {
-	o.orders++
-	return fmt.Sprintf("o%d-%d", o.index, o.orders)
+	o.orderCount++
+	return fmt.Sprintf("o%d-%d", o.index, o.orderCount)
 }
 
 func (o *operator) newName() string {
@@ -90,29 +90,30 @@
 	return o.nextName()
 }
 
-// send sends an order unchanged until its answer is final.
+// send retries an unchanged order until the response is final.
 func (o *operator) send(ctx context.Context, sent order) {
-	o.sendFirst(ctx, sent, o.pickServer())
+	o.sendTo(ctx, sent, o.pickServer())
 }
 
-// sendFirst is send with the server of the first attempt.
-func (o *operator) sendFirst(ctx context.Context, sent order, to *machine) bool {
+// sendTo is like send, with a given server for the first attempt. It reports whether the order was accepted.
+func (o *operator) sendTo(ctx context.Context, sent order, to *machine) bool {
 	return o.sendLimited(ctx, sent, to, math.MaxInt)
 }
 
-// sendAtMost is send with a limit of attempts.
+// sendAtMost is like send, with a limited number of attempts.
 func (o *operator) sendAtMost(ctx context.Context, sent order, attempts int) {
 	o.sendLimited(ctx, sent, o.pickServer(), attempts)
 }
 
-// sendLimited sends an order until its answer is final, so many times at most.
+// sendLimited retries an order until the response is final or the attempts are used up. It reports whether the order was
+// accepted.
 func (o *operator) sendLimited(ctx context.Context, sent order, to *machine, attempts int) bool {
 	retry := minBackoff
 	for attempt := 1; ctx.Err() == nil && attempt <= attempts; attempt++ {
 		status := o.attempt(sent, to, attempt)
-		if ends, taken := classify(status); ends || attempt >= maxRejectedAttempts && isRejection(status) {
-			o.recordOutcome(ctx, sent, taken)
-			return taken
+		if final, accepted := classify(status); final || attempt >= maxRejectedAttempts && isRejection(status) {
+			o.recordOutcome(ctx, sent, accepted)
+			return accepted
 		}
 		if !simnet.Sleep(ctx, retry/2+o.randomDuration(retry/2+1)) {
 			return false
@@ -127,17 +128,17 @@
 	return status >= 400 && status < 500 && status != 408 && status != 429
 }
 
-// attempt sends an order once and records that.
+// attempt sends an order once and records the operation.
 func (o *operator) attempt(sent order, to *machine, attempt int) (status int) {
-	record := o.world.record
+	record := o.simulation.record
 	called := record.now()
-	o.world.trigger(schedule.Sent)
-	response := o.world.call(o.host, to, sent.request())
+	o.simulation.trigger(schedule.Sent)
+	response := o.simulation.call(o.host, to, sent.request())
 	outcome := history.Unknown
-	switch ends, taken := classify(response.Status); {
-	case taken:
+	switch final, accepted := classify(response.Status); {
+	case accepted:
 		outcome = history.Acknowledged
-	case ends, attempt >= maxRejectedAttempts && isRejection(response.Status):
+	case final, attempt >= maxRejectedAttempts && isRejection(response.Status):
 		outcome = history.Rejected
 	}
 	record.addOperation(history.Operation{
@@ -145,14 +146,14 @@
 		Generation: sent.generation, Order: sent.name, Invalid: sent.invalid, Outcome: outcome, Status: response.Status,
 	})
 	if outcome == history.Acknowledged {
-		o.world.trigger(schedule.Acknowledgement)
+		o.simulation.trigger(schedule.Acknowledgement)
 	}
 	return response.Status
 }
 
-// recordOutcome takes note of the answer to an order. After a rejection the operator reads what is in force.
-func (o *operator) recordOutcome(ctx context.Context, sent order, taken bool) {
-	if !taken {
+// recordOutcome processes the final response to an order. After a rejection the operator reads the configuration in force.
+func (o *operator) recordOutcome(ctx context.Context, sent order, accepted bool) {
+	if !accepted {
 		if !sent.invalid {
 			o.read(ctx, o.pickServer())
 		}
@@ -162,24 +163,24 @@
 	defer o.mutex.Unlock()
 	if sent.generation > o.knownGeneration {
 		o.knownGeneration = sent.generation
-		o.keepOlder(o.newest)
+		o.retainOlder(o.newest)
 		o.newest = sent
 	}
 }
 
-// read asks for the newest configuration once.
+// read requests the current configuration once.
 func (o *operator) read(_ context.Context, from *machine) {
-	record := o.world.record
+	record := o.simulation.record
 	called := record.now()
-	response := o.world.call(o.host, from, server.APIRequest{Call: server.APIRead})
+	response := o.simulation.call(o.host, from, server.APIRequest{Call: server.APIRead})
 	done := history.Operation{
 		Client: o.index, Server: from.slot, Machine: from.ip, Call: called, Return: record.now(), Kind: history.Read,
 		Outcome: history.Unknown, Status: response.Status,
 	}
-	if _, taken := classify(response.Status); taken {
+	if _, accepted := classify(response.Status); accepted {
 		generation, name, err := readDocument(response.Body)
 		if err != nil {
-			record.addFault("a read gave no configuration: " + err.Error())
+			record.addFault("the response to a read is not a configuration: " + err.Error())
 			return
 		}
 		done.Generation, done.Order, done.Outcome = generation, name, history.Acknowledged
@@ -190,22 +191,22 @@
 	record.addOperation(done)
 }
 
-// maxOlder is how many accepted orders an operator keeps.
-const maxOlder = 40
+// maxOlderOrders is how many older accepted orders an operator keeps.
+const maxOlderOrders = 40
 
-// keepOlder keeps an accepted order, in place of a drawn one if there are many. The caller holds the mutex.
-func (o *operator) keepOlder(one order) {
+// retainOlder keeps an accepted order, in place of a random one when maxOlderOrders are kept. The caller holds the mutex.
+func (o *operator) retainOlder(one order) {
 	switch {
 	case one.name == "":
-	case len(o.older) < maxOlder:
+	case len(o.older) < maxOlderOrders:
 		o.older = append(o.older, one)
 	default:
 		o.older[o.random.IntN(len(o.older))] = one
 	}
 }
 
-// acceptedBefore returns an order of this operator that was accepted before the newest one.
-func (o *operator) acceptedBefore() (order, bool) {
+// olderAcceptedOrder returns a random kept order of this operator that was accepted before the newest one.
+func (o *operator) olderAcceptedOrder() (order, bool) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	if len(o.older) == 0 {
--- a/internal/testkit/controlplanesim/order.go
+++ b/internal/testkit/controlplanesim/order.go
@@ -11,10 +11,10 @@
 	"ospreybend/internal/testkit/controlplanesim/schedule"
 )
 
-// markService is a service of every configuration whose health path names the order that the configuration came by.
-const markService = "mark"
+// orderMarkerService is a service in every configuration. Its health path names the order that made the configuration.
+const orderMarkerService = "mark"
 
-// order is one change of the configuration by an operator; every attempt sends it unchanged.
+// order is a configuration change by an operator. Every attempt sends it unchanged.
 type order struct {
 	name       string
 	kind       history.Kind
@@ -24,21 +24,22 @@
 	invalid    bool
 }
 
-// replaceOrder is a complete configuration.
+// replaceOrder returns an order with a complete configuration.
 func replaceOrder(name string, base, generation uint64) order {
 	body := fmt.Sprintf(`{"generation":%d,"routes":[%s],"services":[%s,%s],"limits":%s}`,
-		generation, routeJSON("r0", "/p/", "s0"), serviceJSON("s0", "/health"), serviceJSON(markService, "/"+name), limitsJSON)
+		generation, routeJSON("r0", "/p/", "s0"), serviceJSON("s0", "/health"), serviceJSON(orderMarkerService, "/"+name), limitsJSON)
 	return order{name: name, kind: history.Replace, base: base, generation: generation, body: []byte(body)}
 }
 
-// updateOrder alters named items of the configuration that it builds on.
+// updateOrder returns an order that upserts named items of the base configuration.
 func updateOrder(name string, base, generation uint64) order {
 	body := fmt.Sprintf(`{"generation":%d,"upsert":{"services":[%s,%s],"routes":[%s]}}`,
-		generation, serviceJSON("s0", "/health"), serviceJSON(markService, "/"+name), routeJSON("r1", "/q/", "s0"))
+		generation, serviceJSON("s0", "/health"), serviceJSON(orderMarkerService, "/"+name), routeJSON("r1", "/q/", "s0"))
 	return order{name: name, kind: history.Update, base: base, generation: generation, body: []byte(body)}
 }
 
-// withBase is the same body sent with a base that was passed before the order was accepted: another order, which must be rejected.
+// withBase returns an order with the same body and an older base, which had been superseded before o was accepted. It is
+// a different order, which must be rejected.
 func (o order) withBase(name string, base uint64) order {
 	o.name, o.base, o.invalid = name, base, true
 	return o
@@ -55,7 +56,7 @@
 	return fmt.Sprintf(`{"name":%q,"healthPath":%q,"maxConnections":10}`, name, healthPath)
 }
 
-// invalidOrder is a configuration that must be rejected whatever is in force.
+// invalidOrder returns a configuration that must be rejected regardless of the one in force.
 func invalidOrder(name string, base, generation uint64, variant schedule.Variant) order {
 	made := replaceOrder(name, base, generation)
 	made.invalid = true
@@ -79,7 +80,7 @@
 	return made
 }
 
-// request is the call that carries the order.
+// request returns the API request for the order.
 func (o order) request() server.APIRequest {
 	request := server.APIRequest{Call: server.APIReplace, Base: strconv.FormatUint(o.base, 10), Body: o.body}
 	if o.kind == history.Update {
@@ -88,7 +89,7 @@
 	return request
 }
 
-// readDocument returns the generation of a configuration and the order that it came by.
+// readDocument returns the generation of a configuration and the name of the order that made it.
 func readDocument(body []byte) (generation uint64, name string, err error) {
 	var document struct {
 		Generation uint64
@@ -98,7 +99,7 @@
 		return 0, "", err
 	}
 	for _, service := range document.Services {
-		if service.Name == markService {
+		if service.Name == orderMarkerService {
 			name = strings.TrimPrefix(service.HealthPath, "/")
 		}
 	}
--- a/internal/testkit/controlplanesim/play.go
+++ b/internal/testkit/controlplanesim/play.go
@@ -17,16 +17,16 @@
 type Report struct {
 	Schedule   schedule.Schedule
 	Violations []history.Violation
-	Faults     []string // failures that no check of the history would find
+	Faults     []string // failures that the checks of the history cannot detect
 	History    history.History
 	Figures    Figures
 }
 
-// Figures count the operations of a run.
+// Figures are the operation counts of a run.
 type Figures struct {
-	Virtual      time.Duration // on the fake clock
+	Virtual      time.Duration // duration on the fake clock
 	Attempts     int           // of orders
-	Acknowledged int           // of these, acknowledged
+	Acknowledged int           // attempts that were acknowledged
 	Reads        int
 	Views        int
 }
@@ -34,7 +34,7 @@
 // Failed reports whether a check failed.
 func (r Report) Failed() bool { return len(r.Violations) > 0 || len(r.Faults) > 0 }
 
-// String lists the violations, and the schedule as a script that can be replayed.
+// String lists the violations and faults, followed by the schedule in its text form for a replay.
 func (r Report) String() string {
 	var text strings.Builder
 	for _, violation := range r.Violations {
@@ -47,29 +47,29 @@
 	return text.String()
 }
 
-// Play plays a schedule in a synctest bubble of its own and checks the history. It must be called outside of a bubble.
+// Play runs a schedule in its own synctest bubble and checks the history. It must not be called within a bubble.
 func Play(t *testing.T, s schedule.Schedule) Report {
 	t.Helper()
 	return PlayLogged(t, s, zap.NewNop())
 }
 
-// PlayLogged is Play with the servers' log, for debugging.
+// PlayLogged is like Play, with a log for the servers, for debugging.
 func PlayLogged(t *testing.T, s schedule.Schedule, log *zap.Logger) Report {
 	t.Helper()
-	return playScript(t, s, log, (*world).playEvents)
+	return playScript(t, s, log, (*simulation).playEvents)
 }
 
-// playScript is Play with a script in place of the schedule's events.
-func playScript(t *testing.T, s schedule.Schedule, log *zap.Logger, script func(w *world, ctx context.Context)) Report {
+// playScript is like PlayLogged, with a script in place of the schedule's events.
+func playScript(t *testing.T, s schedule.Schedule, log *zap.Logger, script func(sim *simulation, ctx context.Context)) Report {
 	t.Helper()
 	report := Report{Schedule: s}
 	synctest.Test(t, func(t *testing.T) {
-		w, err := newWorld(s, log)
+		sim, err := newSimulation(s, log)
 		if err != nil {
 			t.Fatal(err)
 		}
-		w.run(func(ctx context.Context) { script(w, ctx) })
-		report.History, report.Faults = w.record.result()
+		sim.run(func(ctx context.Context) { script(sim, ctx) })
+		report.History, report.Faults = sim.record.result()
 	})
 	report.Violations = report.History.Check()
 	report.Figures = countFigures(report.History)
--- a/internal/testkit/controlplanesim/record.go
+++ b/internal/testkit/controlplanesim/record.go
@@ -15,37 +15,37 @@
 
 // recorder collects the history of a run.
 type recorder struct {
-	world *world
-	start time.Time
+	simulation *simulation
+	start      time.Time
 
 	mutex       sync.Mutex
-	ended       bool // the run is at its end
+	ended       bool // set when the run ends; samples are no longer recorded
 	observed    history.History
 	faults      []string
 	departures  map[string]*pendingDeparture
-	members     map[consensus.MemberID]*knownMember
-	groupStates [shards.ShardCount]history.GroupState // the last ones
+	members     map[consensus.MemberID]*memberRecord
+	groupStates [shards.ShardCount]history.GroupState // last recorded
 	memberships [shards.ShardCount]membership
-	leaders     map[uint64]bool // terms of the configuration's group that had one
+	leaders     map[uint64]bool // terms of the configuration group that had a leader
 }
 
-// knownMember is what is known of a member ID.
-type knownMember struct {
-	machine *machine
-	gone    bool
-	durable [shards.ShardCount]uint64
+// memberRecord is the recorder's knowledge of a member ID.
+type memberRecord struct {
+	machine  *machine
+	diskLost bool
+	durable  [shards.ShardCount]uint64
 }
 
-// pendingDeparture is a departure that may not be acknowledged yet.
+// pendingDeparture is a recorded departure whose acknowledgement may still be missing.
 type pendingDeparture struct {
 	record *recorder
 	index  int
 }
 
-func newRecorder(w *world) *recorder {
+func newRecorder(sim *simulation) *recorder {
 	return &recorder{
-		world: w, start: time.Now(), departures: make(map[string]*pendingDeparture),
-		members: make(map[consensus.MemberID]*knownMember), leaders: make(map[uint64]bool),
+		simulation: sim, start: time.Now(), departures: make(map[string]*pendingDeparture),
+		members: make(map[consensus.MemberID]*memberRecord), leaders: make(map[uint64]bool),
 	}
 }
 
@@ -76,7 +76,7 @@
 	r.observed.Presences = append(r.observed.Presences, one)
 }
 
-// addFault records a failure that no check of the history would find.
+// addFault records a failure that the checks of the history cannot detect.
 func (r *recorder) addFault(text string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -105,8 +105,8 @@
 	}
 }
 
-// beginFault records the beginning of a fault; over records its end.
-func (r *recorder) beginFault(one history.Fault) (over func()) {
+// beginFault records the start of a fault. The function returned records its end.
+func (r *recorder) beginFault(one history.Fault) (endFault func()) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	one.From = r.now()
@@ -121,40 +121,40 @@
 	}
 }
 
-// addMember records where a member ID is.
+// addMember records the machine of a member ID.
 func (r *recorder) addMember(id consensus.MemberID, m *machine) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if r.members[id] == nil {
-		r.members[id] = &knownMember{machine: m}
+		r.members[id] = &memberRecord{machine: m}
 	}
 }
 
-// markGone records that a member's disk is lost for good.
-func (r *recorder) markGone(id consensus.MemberID) {
+// markDiskLost records that a member's disk is permanently lost.
+func (r *recorder) markDiskLost(id consensus.MemberID) {
 	r.mutex.Lock()
 	if known := r.members[id]; known != nil {
-		known.gone = true
+		known.diskLost = true
 	}
 	r.mutex.Unlock()
 	r.sample()
 }
 
-// observe takes note of a change of a group's status at a machine. It must not block.
+// observe processes a change of a group's status at a machine. It must not block.
 func (r *recorder) observe(_ *machine, status replica.Status) {
 	if status.Shard == shards.ConfigurationShard && (status.Role == consensus.RoleCandidate || status.Role == consensus.RolePreCandidate) {
-		r.world.trigger(schedule.Candidacy)
+		r.simulation.trigger(schedule.Candidacy)
 	}
 	if !status.IsLeader() {
 		return
 	}
-	if status.Shard == shards.ConfigurationShard && r.firstOfTerm(status.Term) {
-		r.world.trigger(schedule.Election)
+	if status.Shard == shards.ConfigurationShard && r.isFirstLeaderOfTerm(status.Term) {
+		r.simulation.trigger(schedule.Election)
 	}
 	r.sample()
 }
 
-func (r *recorder) firstOfTerm(term uint64) bool {
+func (r *recorder) isFirstLeaderOfTerm(term uint64) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	first := !r.leaders[term]
@@ -162,10 +162,10 @@
 	return first
 }
 
-// sample records each group's members, as its leader has them, and what is durable at them. Since members go on while
-// they are asked one after the other, what is committed is asked of all before what is durable.
+// sample records each group's members according to its leader, and the durable index of each. Members are queried one after
+// the other and make progress meanwhile, so the commit index of all is read before the durable index of any.
 func (r *recorder) sample() {
-	all := r.world.allMachines()
+	all := r.simulation.allMachines()
 	var committed [shards.ShardCount]uint64
 	for _, m := range all {
 		for _, status := range m.inspect() {
@@ -179,12 +179,12 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if r.ended {
-		return // members are being stopped, and their states are not reported any more
+		return // members are being stopped and no longer report their states
 	}
 	var leading [shards.ShardCount]replica.Status
 	for i, m := range all {
 		for _, status := range states[i] {
-			r.noteDurable(m, status)
+			r.recordDurable(m, status)
 			if status.IsLeader() && status.Term >= leading[status.Shard].Term {
 				leading[status.Shard] = status
 			}
@@ -202,15 +202,15 @@
 	}
 }
 
-// membership is a group's membership as the leader of its newest term has it: one of a former term, frozen or partitioned off,
-// may have an older one.
+// membership is a group's membership according to the leader of its newest term. A leader of an earlier term that was frozen
+// or isolated may have an older one.
 type membership struct {
 	term      uint64
 	members   []consensus.Member
 	committed uint64
 }
 
-func (r *recorder) noteDurable(m *machine, status replica.Status) {
+func (r *recorder) recordDurable(m *machine, status replica.Status) {
 	m.mutex.Lock()
 	id := m.memberID
 	m.mutex.Unlock()
@@ -219,7 +219,7 @@
 	}
 }
 
-// recordGroup records a group's standing unless it is as before.
+// recordGroup records a group's state if it has changed.
 func (r *recorder) recordGroup(shard int, members []consensus.Member, committed uint64) {
 	now := history.GroupState{At: r.now(), Group: shard, Committed: committed}
 	for _, member := range members {
@@ -228,7 +228,7 @@
 		}
 		voter := history.Voter{ID: uint64(member.ID), Slot: -1}
 		if known := r.members[member.ID]; known != nil {
-			voter.Slot, voter.Gone, voter.Durable = known.machine.slot, known.gone || known.machine.isRetired(), known.durable[shard]
+			voter.Slot, voter.Gone, voter.Durable = known.machine.slot, known.diskLost || known.machine.isRetired(), known.durable[shard]
 		}
 		now.Voters = append(now.Voters, voter)
 	}
@@ -241,7 +241,7 @@
 	r.observed.GroupStates = append(r.observed.GroupStates, now)
 }
 
-// result returns what was recorded, in the order of time.
+// result returns the recorded history in chronological order, and the recorded failures.
 func (r *recorder) result() (history.History, []string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -253,16 +253,16 @@
 	return seen, slices.Clone(r.faults)
 }
 
-// end records the end of the run and its bounds.
+// end records the end of the run, its bounds, and the formation of the core as a fault.
 func (r *recorder) end() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.ended = true
-	s := r.world.schedule
+	s := r.simulation.schedule
 	r.observed.End, r.observed.Bounds = r.now(), bounds
 	r.observed.Tolerance, r.observed.Agents = s.Tolerance, s.Agents
 	r.observed.Faults = append(r.observed.Faults, history.Fault{
-		What: "formation", To: formationTime, Core: true, Lasting: true, Lost: r.world.allSlots(), Until: formationTime,
+		What: "formation", To: formationTime, Core: true, Lasting: true, Lost: r.simulation.allSlots(), Until: formationTime,
 	})
 	r.observed.Wanted = min(max(2*s.Tolerance+1, seedCount), s.Servers)
 }
--- a/internal/testkit/controlplanesim/recorded_test.go
+++ b/internal/testkit/controlplanesim/recorded_test.go
@@ -6,10 +6,10 @@
 	"ospreybend/internal/testkit/controlplanesim/schedule"
 )
 
-// recordedSchedules are shrunk schedules that once violated a check, by what was at fault.
+// recordedSchedules are shrunk schedules that once violated a check, keyed by the cause.
 var recordedSchedules = map[string]string{
-	// A voter that was replaced while it was away asked to join 1.5 to 2.5 s after its return only, so that its group was short of
-	// voters for more than schedule.CatchUp.
+	// A voter that had been replaced while it was down requested to join only 1.5 to 2.5 s after its return, so its group lacked
+	// a voter for longer than schedule.CatchUp.
 	"a replaced voter asks to join late": `
 schedule seed=8 keepers=9 tolerance=4 agents=3 operators=2 workers=4 length=40s snapshots=40 remembered=16
 6.743s power on=acknowledgement delay=311ms keepers=5 for=14.341s
@@ -19,7 +19,7 @@
 10.269s rewipe keepers=4 for=498ms
 25.353s cut variant=keepers keepers=0 operators=1 workers=2,3 for=2.712s leader
 `,
-	// A follower that was frozen until after it was partitioned off took the leader's messages of before for new ones, and
+	// A follower that was unfrozen only after a partition began treated the leader's older messages as new ones, and
 	// acknowledged a heartbeat 1.6 s into the partition.
 	"a frozen follower reads old messages": `
 schedule seed=401460 keepers=5 tolerance=2 agents=1 operators=2 workers=1 length=25.548s snapshots=40 remembered=16
@@ -28,12 +28,14 @@
 21.265s freeze on=election keepers=4 for=3.031s
 24.548s cut variant=keepers keepers=4 operators=1 workers=0 for=1.8s
 `,
-	// An agent went from one frozen server to the next, and waited 0.9 s for each: a frozen process's kernel accepts connections.
+	// An agent tried several frozen servers in turn and waited 0.9 s for each: the kernel accepts connections for a frozen
+	// process.
 	"an agent tries frozen servers": `
 schedule seed=400157 keepers=9 tolerance=4 agents=2 operators=2 workers=1 length=8s snapshots=40 remembered=16
 7s freeze keepers=0,2,6,7 for=3.26s
 `,
-	// A follower that was partitioned off together with its leader was confirmed by that one until it stepped down.
+	// A follower that was isolated together with its leader was confirmed as current by this leader until the leader stepped
+	// down.
 	"a leader is partitioned off with a follower": `
 schedule seed=400083 keepers=9 tolerance=4 agents=1 operators=2 workers=6 length=8.423s snapshots=40 remembered=16
 7.423s cut variant=inward keepers=1,2 operators=1 workers=5 for=2.12s
@@ -49,7 +51,7 @@
 				t.Fatal(err)
 			}
 			if report := Play(t, recorded); report.Failed() {
-				t.Error(report)
+				t.Errorf("recorded schedule violates a check again, want no violation: %v", report)
 			}
 		})
 	}
--- a/internal/testkit/controlplanesim/replacement_test.go
+++ b/internal/testkit/controlplanesim/replacement_test.go
@@ -7,7 +7,8 @@
 	"ospreybend/internal/testkit/controlplanesim/schedule"
 )
 
-// replacementSchedules are courses of losses and repairs that follow each other closely. The first line is completed by a seed.
+// replacementSchedules are sequences of losses and repairs in quick succession. The test prepends the seed and further
+// parameters to the first line.
 var replacementSchedules = map[string]string{
 	"each loses its disk in turn, the leader among them": `keepers=3 tolerance=1 length=36s
 		6s wipe keepers=0 for=1s
@@ -23,14 +24,14 @@
 		16s replace variant=planned keepers=2,3 for=1s
 		26s replace variant=unplanned keepers=4 for=500ms
 		26.2s replace variant=planned keepers=0 for=1s`,
-	"a wipe, then a kill of one that may have sent the snapshot": `keepers=5 tolerance=2 length=32s
+	"a wipe, then a kill of a server that may have sent the snapshot": `keepers=5 tolerance=2 length=32s
 		6s wipe keepers=0 for=800ms
 		7.1s kill keepers=1 for=1s
 		14s wipe keepers=1 for=800ms
 		15.1s kill keepers=2 for=1s
 		22s wipe keepers=2 for=800ms
 		23.1s power keepers=3 for=1s`,
-	"all restart amid a change of members": `keepers=3 tolerance=1 length=40s
+	"all servers restart during a membership change": `keepers=3 tolerance=1 length=40s
 		6s wipe keepers=0 for=500ms
 		6.6s restart-all for=500ms
 		14s replace variant=unplanned keepers=1 for=500ms
@@ -46,7 +47,7 @@
 		25s kill keepers=0 for=1s
 		31s replace variant=planned keepers=1 for=1s
 		31.6s power keepers=2 for=1s`,
-	"nine, four lost at once, then a roll": `keepers=9 tolerance=4 length=46s
+	"nine servers, four lost at once, then a rolling restart": `keepers=9 tolerance=4 length=46s
 		6s replace variant=unplanned keepers=0,1 for=1s
 		6.1s wipe keepers=2,3 for=1s
 		16s wipe keepers=4,5,6,7 for=1s
@@ -68,10 +69,10 @@
 				}
 				report := Play(t, parsed)
 				if report.Failed() {
-					t.Errorf("seed %d: %v", seed+1, report)
+					t.Errorf("seed %d: got violations, want none: %v", seed+1, report)
 				}
 				if report.Figures.Acknowledged == 0 {
-					t.Errorf("seed %d: no order is taken", seed+1)
+					t.Errorf("seed %d: got no acknowledged order, want at least one", seed+1)
 				}
 			}
 		})
--- a/internal/testkit/controlplanesim/request_test.go
+++ b/internal/testkit/controlplanesim/request_test.go
@@ -8,14 +8,14 @@
 	"ospreybend/internal/testkit/controlplanesim/history"
 )
 
-// checkFault names failures that no check of the history would find.
+// checkFault is the check name for failures that the checks of the history cannot detect.
 const checkFault = "fault"
 
-// TestPlayRequest plays what `inference-router measure simulate` asks a process for.
+// TestPlayRequest plays the schedules that `inference-router measure simulate` requests from this process.
 func TestPlayRequest(t *testing.T) {
 	request, given, err := campaign.Requested()
 	if !given {
-		t.Skip("is run by inference-router measure simulate")
+		t.Skip("run only by inference-router measure simulate")
 	}
 	if err != nil {
 		t.Fatal(err)
@@ -25,15 +25,15 @@
 		t.Fatal(err)
 	}
 	for _, one := range schedules {
-		tell(t, campaign.Line{Seed: one.Seed, Begins: true})
+		writeLine(t, campaign.Line{Seed: one.Seed, Begins: true})
 		report := Play(t, one)
 		line := campaign.Line{Seed: one.Seed, Violations: findings(report), Counts: countsOf(report.History)}
 		line.InContactDelays, line.Delays = delaysOf(report.History)
-		tell(t, line)
+		writeLine(t, line)
 	}
 }
 
-func tell(t *testing.T, line campaign.Line) {
+func writeLine(t *testing.T, line campaign.Line) {
 	t.Helper()
 	if err := line.Write(os.Stdout); err != nil {
 		t.Fatal(err)
@@ -61,7 +61,7 @@
 	return counts
 }
 
-// delaysOf counts how long views lack what is acknowledged: at agents in contact, and at all.
+// delaysOf returns the delays from the acknowledgement of a change until views show it: for agents in contact, and for all.
 func delaysOf(h history.History) (inContact, all campaign.Delays) {
 	inContact, all = campaign.Delays{}, campaign.Delays{}
 	for _, one := range h.ViewDelays() {
--- a/internal/testkit/controlplanesim/simulation.go
+++ b/internal/testkit/controlplanesim/simulation.go
@@ -18,107 +18,108 @@
 	"ospreybend/internal/testkit/controlplanesim/simnet"
 )
 
-// Ports and times of the simulated site.
+// Ports and times of the simulated deployment.
 const (
 	peerPort         = 7000
 	controlPort      = 8000
 	startSpread      = 300 * time.Millisecond // within which all machines start
-	listLag          = time.Second            // of the list that callers choose servers from
+	listingLag       = time.Second            // by which the server list of the callers lags behind
 	terminationGrace = 8 * time.Second        // between SIGTERM and SIGKILL
 	sampleInterval   = 250 * time.Millisecond
 	recoveryTime     = 8 * time.Second // after the last event
 	seedCount        = 3
-	formationTime    = 4 * time.Second // in which the core has to be formed completely
+	formationTime    = 4 * time.Second // within which all groups of the core must be formed
 )
 
-// bounds are the times that the control plane guarantees to callers.
+// bounds are the time limits that the control plane guarantees.
 var bounds = history.Bounds{
 	Contact: 3 * time.Second, ConfigApply: 2 * time.Second, Drain: drainTime, Registration: 2 * time.Second, ServeAgain: 6 * time.Second,
 }
 
-// world is everything of one run.
-type world struct {
-	schedule  schedule.Schedule
-	omissions omissions
-	log       *zap.Logger // of the servers
-	network   *simnet.Network
-	record    *recorder
-	running   sync.WaitGroup // everything that was started
-	scripts   context.Context
+// simulation is the state of one run.
+type simulation struct {
+	schedule   schedule.Schedule
+	omissions  omissions
+	log        *zap.Logger // of the servers
+	network    *simnet.Network
+	record     *recorder
+	goroutines sync.WaitGroup // all started goroutines
+	scripts    context.Context
 
 	edges     []*edge
 	operators []*operator
-	reader    *operator // only reads, and no answers to it are lost
+	reader    *operator // only reads; its responses are never lost
 	workers   []*worker
 
 	mutex       sync.Mutex
-	machines    []*machine // all that there ever were
-	listings    []listing  // the core as callers list it
+	machines    []*machine // including replaced ones
+	listings    []listing  // the core machines as callers see them
 	current     []*machine // by slot
 	lostReplies map[string]int
 	triggers    map[schedule.Trigger]chan struct{}
 	syncs       []syncWait
 }
 
-// syncWait waits until a machine of some slots begins to sync its disk; no slots: any machine.
+// syncWait is an event that waits until a machine in one of the slots begins to sync its disk; without slots, any machine.
 type syncWait struct {
-	slots  []int
-	raised chan struct{}
+	slots     []int
+	triggered chan struct{}
 }
 
-// listing is the time for which a machine is on the list of the core.
+// listing is the time during which a machine is listed as part of the core.
 type listing struct {
-	machine    *machine
-	from, till time.Time // till is zero while it is on it
+	machine     *machine
+	from, until time.Time // until is zero while the machine is listed
 }
 
-func newWorld(played schedule.Schedule, log *zap.Logger) (*world, error) {
+func newSimulation(played schedule.Schedule, log *zap.Logger) (*simulation, error) {
 	omit, err := parseOmissions(played.Omit)
 	if err != nil {
 		return nil, err
 	}
-	w := &world{
+	sim := &simulation{
 		schedule: played, omissions: omit, log: log, network: simnet.New(played.Seed), lostReplies: make(map[string]int),
 		triggers: make(map[schedule.Trigger]chan struct{}),
 	}
-	w.record = newRecorder(w)
+	sim.record = newRecorder(sim)
 	for slot := range played.Servers {
-		m := w.newMachine(slot)
-		w.current = append(w.current, m)
-		w.listings = append(w.listings, listing{machine: m, from: time.Now().Add(-listLag)})
+		m := sim.newMachine(slot)
+		sim.current = append(sim.current, m)
+		sim.listings = append(sim.listings, listing{machine: m, from: time.Now().Add(-listingLag)})
 	}
 	for i := range played.Agents {
-		w.edges = append(w.edges, &edge{world: w, index: i, ip: address(1, i)})
+		sim.edges = append(sim.edges, &edge{simulation: sim, index: i, ip: address(1, i)})
 	}
 	for i := range played.Operators {
-		w.operators = append(w.operators, w.newOperator(i))
+		sim.operators = append(sim.operators, sim.newOperator(i))
 	}
-	w.reader = w.newOperator(played.Operators)
+	sim.reader = sim.newOperator(played.Operators)
 	for i := range played.Workers {
-		w.workers = append(w.workers, &worker{caller: caller{world: w, host: address(2, i), random: w.random("worker", i)}, index: i})
+		sim.workers = append(sim.workers, &worker{caller: caller{simulation: sim, host: address(2, i), random: sim.random("worker", i)}, index: i})
 	}
-	return w, nil
+	return sim, nil
 }
 
-func (w *world) newOperator(index int) *operator {
-	return &operator{caller: caller{world: w, host: address(9, index), random: w.random("operator", index)}, index: index}
+func (sim *simulation) newOperator(index int) *operator {
+	return &operator{caller: caller{simulation: sim, host: address(9, index), random: sim.random("operator", index)}, index: index}
 }
 
-// address is the IP of one machine of a kind.
+// address returns the IP of a machine; kind is 0 for servers, 1 for edges, 2 for workers and 9 for operators.
 func address(kind, number int) string { return fmt.Sprintf("10.%d.0.%d", kind, number+1) }
 
 func controlAddress(ip string) string { return net.JoinHostPort(ip, strconv.Itoa(controlPort)) }
 
-// random returns the draws of one part of the world, which depend on the seed alone. They may be used by one goroutine.
-func (w *world) random(part string, number int) *rand.Rand {
+// random returns the random source of one part of the simulation, which depends only on the schedule's seed and the part.
+// It is not safe for concurrent use.
+func (sim *simulation) random(part string, number int) *rand.Rand {
 	h := fnv.New64a()
 	_, _ = fmt.Fprintf(h, "%s/%d", part, number)
-	return rand.New(rand.NewPCG(w.schedule.Seed, h.Sum64()))
+	return rand.New(rand.NewPCG(sim.schedule.Seed, h.Sum64()))
 }
 
-// sharedRandom is random for several goroutines.
-func (w *world) sharedRandom(part string, number int) func() uint64 {
-	random := w.random(part, number)
+// sharedRandom is like random, but safe for concurrent use.
+func (sim *simulation) sharedRandom(part string, number int) func() uint64 {
+	random := sim.random(part, number)
 	var mutex sync.Mutex
 	return func() uint64 {
 		mutex.Lock()
@@ -127,75 +128,75 @@
 	}
 }
 
-func (w *world) newMachine(slot int) *machine {
-	m := &machine{world: w, slot: slot, ip: address(0, len(w.machines)), disk: newMachineDisk()}
-	w.machines = append(w.machines, m)
+func (sim *simulation) newMachine(slot int) *machine {
+	m := &machine{simulation: sim, slot: slot, ip: address(0, len(sim.machines)), disk: newMachineDisk()}
+	sim.machines = append(sim.machines, m)
 	return m
 }
 
-// allMachines returns all machines that there ever were.
-func (w *world) allMachines() []*machine {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	return slices.Clone(w.machines)
+// allMachines returns all machines of the core, including replaced ones.
+func (sim *simulation) allMachines() []*machine {
+	sim.mutex.Lock()
+	defer sim.mutex.Unlock()
+	return slices.Clone(sim.machines)
 }
 
-// machineAt returns the machine that occupies a slot now.
-func (w *world) machineAt(slot int) *machine {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	return w.current[slot]
+// machineAt returns the machine that currently has the slot.
+func (sim *simulation) machineAt(slot int) *machine {
+	sim.mutex.Lock()
+	defer sim.mutex.Unlock()
+	return sim.current[slot]
 }
 
-func (w *world) machinesAt(machines []int) []*machine {
+func (sim *simulation) machinesAt(machines []int) []*machine {
 	var found []*machine
 	for _, slot := range machines {
-		found = append(found, w.machineAt(slot))
+		found = append(found, sim.machineAt(slot))
 	}
 	return found
 }
 
-func (w *world) currentMachines() []*machine {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	return slices.Clone(w.current)
+func (sim *simulation) currentMachines() []*machine {
+	sim.mutex.Lock()
+	defer sim.mutex.Unlock()
+	return slices.Clone(sim.current)
 }
 
-// replaceMachine has a new machine take a slot. The old one stays on the list of callers for a while.
-func (w *world) replaceMachine(slot int) (old, successor *machine) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	old = w.current[slot]
-	successor = w.newMachine(slot)
-	w.current[slot] = successor
+// replaceMachine puts a new machine in a slot. Callers continue to see the old one for listingLag.
+func (sim *simulation) replaceMachine(slot int) (old, successor *machine) {
+	sim.mutex.Lock()
+	defer sim.mutex.Unlock()
+	old = sim.current[slot]
+	successor = sim.newMachine(slot)
+	sim.current[slot] = successor
 	now := time.Now()
-	for i := range w.listings {
-		if w.listings[i].machine == old {
-			w.listings[i].till = now
+	for i := range sim.listings {
+		if sim.listings[i].machine == old {
+			sim.listings[i].until = now
 		}
 	}
-	w.listings = append(w.listings, listing{machine: successor, from: now})
+	sim.listings = append(sim.listings, listing{machine: successor, from: now})
 	return old, successor
 }
 
-// listedMachines returns the core as callers know it, which lags.
-func (w *world) listedMachines() []*machine {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	as := time.Now().Add(-listLag)
+// listedMachines returns the core machines as callers see them, which is the state of listingLag ago.
+func (sim *simulation) listedMachines() []*machine {
+	sim.mutex.Lock()
+	defer sim.mutex.Unlock()
+	asOf := time.Now().Add(-listingLag)
 	var listed []*machine
-	for _, one := range w.listings {
-		if !one.from.After(as) && (one.till.IsZero() || one.till.After(as)) {
+	for _, one := range sim.listings {
+		if !one.from.After(asOf) && (one.until.IsZero() || one.until.After(asOf)) {
 			listed = append(listed, one.machine)
 		}
 	}
 	return listed
 }
 
-// seeds returns the seeds of a settings file that is written now.
-func (w *world) seeds() []string {
+// seeds returns the seed addresses for a settings file written at this time.
+func (sim *simulation) seeds() []string {
 	var seeds []string
-	for _, m := range w.listedMachines() {
+	for _, m := range sim.listedMachines() {
 		if len(seeds) < seedCount {
 			seeds = append(seeds, controlAddress(m.ip))
 		}
@@ -203,47 +204,48 @@
 	return seeds
 }
 
-// trigger wakes the events that wait for a trigger.
-func (w *world) trigger(trigger schedule.Trigger) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	if waiting := w.triggers[trigger]; waiting != nil {
+// trigger releases the events that wait for the trigger.
+func (sim *simulation) trigger(trigger schedule.Trigger) {
+	sim.mutex.Lock()
+	defer sim.mutex.Unlock()
+	if waiting := sim.triggers[trigger]; waiting != nil {
 		close(waiting)
-		delete(w.triggers, trigger)
+		delete(sim.triggers, trigger)
 	}
 }
 
-// diskSyncs wakes the events that wait for a machine's sync.
-func (w *world) diskSyncs(m *machine) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	w.syncs = slices.DeleteFunc(w.syncs, func(wait syncWait) bool {
+// notifySync releases the events that wait for a disk sync of the machine.
+func (sim *simulation) notifySync(m *machine) {
+	sim.mutex.Lock()
+	defer sim.mutex.Unlock()
+	sim.syncs = slices.DeleteFunc(sim.syncs, func(wait syncWait) bool {
 		matches := len(wait.slots) == 0 || slices.Contains(wait.slots, m.slot)
 		if matches {
-			close(wait.raised)
+			close(wait.triggered)
 		}
 		return matches
 	})
 }
 
-// triggerChannel returns the channel that is closed at a trigger; that of a sync concerns the slots alone.
-func (w *world) triggerChannel(trigger schedule.Trigger, slots []int) <-chan struct{} {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
+// triggerChannel returns a channel that is closed when the trigger occurs. For schedule.Sync, only syncs in the given slots
+// count.
+func (sim *simulation) triggerChannel(trigger schedule.Trigger, slots []int) <-chan struct{} {
+	sim.mutex.Lock()
+	defer sim.mutex.Unlock()
 	if trigger == schedule.Sync {
-		wait := syncWait{slots: slots, raised: make(chan struct{})}
-		w.syncs = append(w.syncs, wait)
-		return wait.raised
+		wait := syncWait{slots: slots, triggered: make(chan struct{})}
+		sim.syncs = append(sim.syncs, wait)
+		return wait.triggered
 	}
-	if w.triggers[trigger] == nil {
-		w.triggers[trigger] = make(chan struct{})
+	if sim.triggers[trigger] == nil {
+		sim.triggers[trigger] = make(chan struct{})
 	}
-	return w.triggers[trigger]
+	return sim.triggers[trigger]
 }
 
-// awaitTrigger waits for a trigger. It returns false if the trigger does not occur in time.
-func (w *world) awaitTrigger(trigger schedule.Trigger, slots []int) bool {
-	raised := w.triggerChannel(trigger, slots)
+// awaitTrigger waits for a trigger. It returns false if the trigger does not occur within schedule.TriggerWindow.
+func (sim *simulation) awaitTrigger(trigger schedule.Trigger, slots []int) bool {
+	raised := sim.triggerChannel(trigger, slots)
 	timer := time.NewTimer(schedule.TriggerWindow)
 	defer timer.Stop()
 	select {
@@ -254,83 +256,83 @@
 	}
 }
 
-// losesReplies reports whether answers to a caller are lost now.
-func (w *world) losesReplies(host string) bool {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	return w.lostReplies[host] > 0
+// dropsReplies reports whether responses to a caller are currently lost.
+func (sim *simulation) dropsReplies(host string) bool {
+	sim.mutex.Lock()
+	defer sim.mutex.Unlock()
+	return sim.lostReplies[host] > 0
 }
 
-// loseReplies loses the answers to callers until the function returned is called.
-func (w *world) loseReplies(hosts []string) (end func()) {
+// dropReplies drops the responses to callers until end is called.
+func (sim *simulation) dropReplies(hosts []string) (end func()) {
 	add := func(count int) {
-		w.mutex.Lock()
-		defer w.mutex.Unlock()
+		sim.mutex.Lock()
+		defer sim.mutex.Unlock()
 		for _, host := range hosts {
-			w.lostReplies[host] += count
+			sim.lostReplies[host] += count
 		}
 	}
 	add(1)
 	return func() { add(-1) }
 }
 
-// run plays a script, usually the schedule's events, and stops everything.
-func (w *world) run(script func(ctx context.Context)) {
+// run starts all processes, executes a script, usually the schedule's events, and stops everything.
+func (sim *simulation) run(script func(ctx context.Context)) {
 	scripts, stopScripts := context.WithCancel(context.Background())
 	defer stopScripts()
-	w.scripts = scripts
+	sim.scripts = scripts
 	edges, stopEdges := context.WithCancel(context.Background())
 	defer stopEdges()
-	w.startCore()
-	for _, e := range w.edges {
+	sim.startCore()
+	for _, e := range sim.edges {
 		e.run(edges)
 	}
-	w.startScripts(scripts)
+	sim.startScripts(scripts)
 	script(scripts)
 	time.Sleep(recoveryTime)
-	w.record.end()
+	sim.record.end()
 	stopScripts()
-	w.stopAll(stopEdges)
+	sim.stopAll(stopEdges)
 }
 
-// startCore starts all servers in a drawn order.
-func (w *world) startCore() {
-	random := w.random("start", 0)
-	seeds := w.seeds()
-	for _, m := range w.current {
-		delay := rand64(random, startSpread)
-		w.running.Go(func() {
+// startCore starts all servers in random order within startSpread.
+func (sim *simulation) startCore() {
+	random := sim.random("start", 0)
+	seeds := sim.seeds()
+	for _, m := range sim.current {
+		delay := randomDurationBelow(random, startSpread)
+		sim.goroutines.Go(func() {
 			time.Sleep(delay)
 			m.start(seeds, true)
 		})
 	}
 }
 
-func (w *world) startScripts(ctx context.Context) {
-	for _, o := range w.operators {
-		w.running.Go(func() { o.run(ctx) })
+func (sim *simulation) startScripts(ctx context.Context) {
+	for _, o := range sim.operators {
+		sim.goroutines.Go(func() { o.run(ctx) })
 	}
-	w.running.Go(func() { w.reader.readForever(ctx) })
-	for _, one := range w.workers {
+	sim.goroutines.Go(func() { sim.reader.readForever(ctx) })
+	for _, one := range sim.workers {
 		one.start(ctx)
 	}
-	w.running.Go(func() {
+	sim.goroutines.Go(func() {
 		for simnet.Sleep(ctx, sampleInterval) {
-			w.record.sample()
+			sim.record.sample()
 		}
 	})
 }
 
 // stopAll stops all processes and waits for their goroutines.
-func (w *world) stopAll(stopEdges context.CancelFunc) {
+func (sim *simulation) stopAll(stopEdges context.CancelFunc) {
 	stopEdges()
-	for _, e := range w.edges {
+	for _, e := range sim.edges {
 		for _, process := range e.processes {
 			process.Kill()
 		}
 	}
-	for _, m := range w.allMachines() {
+	for _, m := range sim.allMachines() {
 		m.kill()
 	}
-	w.running.Wait()
+	sim.goroutines.Wait()
 }
--- a/internal/testkit/controlplanesim/slow_events.go
+++ b/internal/testkit/controlplanesim/slow_events.go
@@ -12,15 +12,15 @@
 	"ospreybend/internal/testkit/controlplanesim/simnet"
 )
 
-// quotaPeriod is the period in which a process has its share of the processor.
+// quotaPeriod is the period of the simulated CPU quota.
 const quotaPeriod = 100 * time.Millisecond
 
-// targetLeader replaces the first server of an event that is meant for the leader of the configuration's group.
-func (w *world) targetLeader(event schedule.Event) schedule.Event {
+// targetLeader replaces an event's first server by the configuration group's leader if the event targets the leader.
+func (sim *simulation) targetLeader(event schedule.Event) schedule.Event {
 	if !event.Leader || len(event.Servers) == 0 {
 		return event
 	}
-	leader, found := w.leaderSlot()
+	leader, found := sim.leaderSlot()
 	if !found || slices.Contains(event.Servers[1:], leader) {
 		return event
 	}
@@ -29,10 +29,11 @@
 	return event
 }
 
-// leaderSlot returns the slot of the leader of the configuration's group, the one of the newest term if several believe to lead.
-func (w *world) leaderSlot() (slot int, found bool) {
+// leaderSlot returns the slot of the configuration group's leader. If several servers consider themselves leader, the one
+// with the newest term is returned.
+func (sim *simulation) leaderSlot() (slot int, found bool) {
 	term := uint64(0)
-	for _, m := range w.currentMachines() {
+	for _, m := range sim.currentMachines() {
 		for _, status := range m.inspect() {
 			if status.Shard == shards.ConfigurationShard && status.IsLeader() && status.Term > term {
 				slot, term, found = m.slot, status.Term, true
@@ -42,14 +43,14 @@
 	return slot, found
 }
 
-// playQuota lets processes run for a part of each period only. It is no fault.
-func (w *world) playQuota(_ context.Context, event schedule.Event) {
+// playQuota lets processes run only for a part of each period. It is not recorded as a fault.
+func (sim *simulation) playQuota(_ context.Context, event schedule.Event) {
 	share := quotaPeriod * time.Duration(event.Count) / 100
 	end := time.Now().Add(event.For)
 	var playing sync.WaitGroup
 	limit := func(index int, freeze func() (thaw func())) {
 		playing.Go(func() {
-			time.Sleep(quotaPeriod * time.Duration(index%7) / 7) // periods do not begin together
+			time.Sleep(quotaPeriod * time.Duration(index%7) / 7) // the periods of different machines are out of phase
 			for time.Now().Before(end) {
 				time.Sleep(share)
 				thaw := freeze()
@@ -59,10 +60,10 @@
 		})
 	}
 	for i, slot := range event.Servers {
-		limit(i, func() func() { return w.machineAt(slot).freeze() })
+		limit(i, func() func() { return sim.machineAt(slot).freeze() })
 	}
 	for i, agent := range event.Agents {
-		limit(i, func() func() { return w.edges[agent].freeze() })
+		limit(i, func() func() { return sim.edges[agent].freeze() })
 	}
 	playing.Wait()
 }
@@ -80,31 +81,31 @@
 	}
 }
 
-// Stalls of goroutines between reading the clock and acting on it.
+// Parameters of stalls between reading the clock and acting on the result.
 const (
-	stallOdds = 16 // one of so many readings
-	minStall  = 5 * time.Millisecond
-	maxStall  = 900 * time.Millisecond
+	readingsPerStall = 16 // on average, one of this many clock readings stalls
+	minStall         = 5 * time.Millisecond
+	maxStall         = 900 * time.Millisecond
 )
 
-// playStall has goroutines of servers stall after they have read the clock.
-func (w *world) playStall(_ context.Context, event schedule.Event) {
-	struck := w.machinesAt(event.Servers)
-	over := w.record.beginFault(history.Fault{
-		What: event.String(), Core: true, Lasting: true, Lost: event.Servers, Stalled: addressesOf(struck), MaxStall: maxStall,
+// playStall makes goroutines of servers stall after they have read the clock.
+func (sim *simulation) playStall(_ context.Context, event schedule.Event) {
+	targets := sim.machinesAt(event.Servers)
+	endFault := sim.record.beginFault(history.Fault{
+		What: event.String(), Core: true, Lasting: true, Lost: event.Servers, Stalled: addressesOf(targets), MaxStall: maxStall,
 	})
 	var ends []func()
-	for _, m := range struck {
-		ends = append(ends, m.stallClock(w.sharedRandom("stall "+m.ip, int(event.At/time.Millisecond))))
+	for _, m := range targets {
+		ends = append(ends, m.stallClock(sim.sharedRandom("stall "+m.ip, int(event.At/time.Millisecond))))
 	}
 	time.Sleep(event.For)
 	for _, end := range ends {
 		end()
 	}
-	over()
+	endFault()
 }
 
-// stallClock has one in stallOdds readings of the clock return late, with the earlier time, until end is called.
+// stallClock delays one in readingsPerStall clock readings, which return the time before the delay, until end is called.
 func (m *machine) stallClock(draw func() uint64) (end func()) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -112,37 +113,37 @@
 		return func() {}
 	}
 	return m.running.process.StallClock(func() time.Duration {
-		if drawn := draw(); drawn%stallOdds == 0 {
-			return minStall + time.Duration(drawn/stallOdds%uint64(maxStall-minStall))
+		if drawn := draw(); drawn%readingsPerStall == 0 {
+			return minStall + time.Duration(drawn/readingsPerStall%uint64(maxStall-minStall))
 		}
 		return 0
 	})
 }
 
-// playRewipe has machines lose their disks, and once more after they have come back over slow links: what the first life sent
-// arrives amid the second.
-func (w *world) playRewipe(_ context.Context, event schedule.Event) {
-	over := w.beginCoreFault(event, event.Servers)
-	struck := w.machinesAt(event.Servers)
+// playRewipe wipes machines' disks, and again after the machines have restarted with slow outgoing links: messages from
+// the first restart arrive during the second.
+func (sim *simulation) playRewipe(_ context.Context, event schedule.Event) {
+	endFault := sim.beginCoreFault(event, event.Servers)
+	targets := sim.machinesAt(event.Servers)
 	hosts := make(map[string]bool)
-	for _, m := range struck {
+	for _, m := range targets {
 		hosts[m.ip] = true
 		m.wipe()
 	}
 	time.Sleep(event.For / 4)
-	heal := w.network.Slow(func(p simnet.Path) time.Duration {
+	heal := sim.network.Slow(func(p simnet.Path) time.Duration {
 		if hosts[p.From] && !hosts[p.To] {
-			return slowDelay
+			return slowLinkDelay
 		}
 		return 0
 	})
-	w.startAll(struck)
+	sim.startAll(targets)
 	time.Sleep(event.For)
-	for _, m := range struck {
+	for _, m := range targets {
 		m.wipe()
 	}
 	heal()
 	time.Sleep(event.For / 8)
-	w.startAll(struck)
-	over()
+	sim.startAll(targets)
+	endFault()
 }
--- a/internal/testkit/controlplanesim/worker.go
+++ b/internal/testkit/controlplanesim/worker.go
@@ -16,20 +16,20 @@
 // Behaviour of workers.
 const (
 	heartbeatInterval = 500 * time.Millisecond
-	drainTime         = 2 * time.Second        // drainMs
-	drainTimeout      = 5 * time.Second        // for the acknowledgement of a drain
-	serveAfterDrain   = 300 * time.Millisecond // that it serves on beyond drainTime
-	retryInterval     = 20 * time.Millisecond  // before the next node is called
-	services          = 6
+	drainTime         = 2 * time.Second        // matches the drainMs guarantee
+	drainTimeout      = 5 * time.Second        // for the acknowledgement of a drain or of a deregistration
+	serveAfterDrain   = 300 * time.Millisecond // for which a worker continues to serve after drainTime
+	retryInterval     = 20 * time.Millisecond  // before the next server is called
+	serviceCount      = 6
 )
 
-// worker is an address at which one incarnation of a worker after the other runs.
+// worker is an address at which incarnations of a worker run one after the other.
 type worker struct {
 	caller
 	index int
 
 	// Guarded by the caller's mutex.
-	incarnation *incarnation // nil: none runs
+	incarnation *incarnation // nil: none is running
 	starts      int
 }
 
@@ -41,10 +41,10 @@
 	mutex    sync.Mutex
 	state    string
 	sequence int
-	delay    time.Duration // how late its heartbeats come
+	delay    time.Duration // by which heartbeats are delayed
 }
 
-// start starts a new incarnation unless one runs.
+// start starts a new incarnation unless one is running.
 func (w *worker) start(ctx context.Context) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -55,16 +55,16 @@
 	ctx, cancel := context.WithCancel(ctx)
 	made := &incarnation{worker: w, id: fmt.Sprintf("w%d-%d", w.index, w.starts), stop: cancel, state: "ready"}
 	w.incarnation = made
-	w.world.running.Go(func() { made.run(ctx) })
+	w.simulation.goroutines.Go(func() { made.run(ctx) })
 }
 
-// takeIncarnation detaches the running incarnation and returns it, or nil.
-func (w *worker) takeIncarnation() *incarnation {
+// detachIncarnation detaches the running incarnation and returns it; nil if none is running.
+func (w *worker) detachIncarnation() *incarnation {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	taken := w.incarnation
+	detached := w.incarnation
 	w.incarnation = nil
-	return taken
+	return detached
 }
 
 // run sends heartbeats until ctx ends.
@@ -77,7 +77,7 @@
 	}
 }
 
-// sendHeartbeat sends one heartbeat to one node after the other until it is acknowledged.
+// sendHeartbeat sends one heartbeat to randomly chosen servers until one acknowledges it. It does not wait for a delayed one.
 func (i *incarnation) sendHeartbeat(ctx context.Context) bool {
 	body, delay, draining := i.nextHeartbeat()
 	for ctx.Err() == nil {
@@ -86,10 +86,10 @@
 			i.sendDelayed(ctx, delay, to, body)
 			return false
 		}
-		called := i.worker.world.record.now()
+		called := i.worker.simulation.record.now()
 		if i.call(to, server.APIHeartbeat, body) {
-			i.worker.world.record.addHeartbeat(history.Heartbeat{
-				Instance: i.id, Call: called, At: i.worker.world.record.now(), Machine: to.ip, Draining: draining,
+			i.worker.simulation.record.addHeartbeat(history.Heartbeat{
+				Instance: i.id, Call: called, At: i.worker.simulation.record.now(), Machine: to.ip, Draining: draining,
 			})
 			return true
 		}
@@ -98,30 +98,30 @@
 	return false
 }
 
-// sendDelayed sends a heartbeat late; later ones may arrive before it.
+// sendDelayed sends a heartbeat after a delay; later heartbeats may arrive before it.
 func (i *incarnation) sendDelayed(ctx context.Context, delay time.Duration, to *machine, body []byte) {
-	i.worker.world.running.Go(func() {
+	i.worker.simulation.goroutines.Go(func() {
 		if simnet.Sleep(ctx, delay/2+i.worker.randomDuration(delay)) {
 			i.call(to, server.APIHeartbeat, body)
 		}
 	})
 }
 
-// nextHeartbeat returns the body of the next heartbeat, and how long it is delayed.
+// nextHeartbeat returns the body of the next heartbeat, its delay, and whether it reports that the worker is draining.
 func (i *incarnation) nextHeartbeat() (body []byte, delay time.Duration, draining bool) {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
 	i.sequence++
 	text := fmt.Sprintf(`{"service":"s%d","address":"%s:80","zone":"zone","generation":"v1","slots":4,"state":%q,"sequence":%d}`,
-		i.worker.index%services, i.worker.host, i.state, i.sequence)
+		i.worker.index%serviceCount, i.worker.host, i.state, i.sequence)
 	return []byte(text), i.delay, i.state != "ready"
 }
 
-// call sends a call once and reports whether it was acknowledged.
+// call sends a request once and reports whether it was acknowledged.
 func (i *incarnation) call(to *machine, kind server.APICall, body []byte) bool {
-	response := i.worker.world.call(i.worker.host, to, server.APIRequest{Call: kind, ID: i.id, Body: body})
+	response := i.worker.simulation.call(i.worker.host, to, server.APIRequest{Call: kind, ID: i.id, Body: body})
 	if isRejection(response.Status) {
-		i.worker.world.record.addFault(fmt.Sprintf("%s is refused a call with %d: %s", i.id, response.Status, response.Body))
+		i.worker.simulation.record.addFault(fmt.Sprintf("a call of worker instance %s was rejected with status %d: %s", i.id, response.Status, response.Body))
 	}
 	return response.Status == http.StatusOK
 }
@@ -132,18 +132,18 @@
 	i.state, i.delay = state, delay
 }
 
-// drain reports that the worker is draining, goes on serving for a while and deregisters.
+// drain reports that the worker is draining, continues to serve for a while, and deregisters.
 func (i *incarnation) drain(ctx context.Context) {
-	i.stop() // its usual heartbeats: those of the drain follow
+	i.stop() // ends the regular heartbeats; those with the draining state follow
 	i.setState("draining", 0)
-	departure := i.worker.world.record.beginDeparture(i.id)
-	patience, cancel := context.WithTimeout(ctx, drainTimeout)
+	departure := i.worker.simulation.record.beginDeparture(i.id)
+	limited, cancel := context.WithTimeout(ctx, drainTimeout)
 	defer cancel()
-	for patience.Err() == nil && !i.sendHeartbeat(patience) {
+	for limited.Err() == nil && !i.sendHeartbeat(limited) {
 	}
-	if patience.Err() == nil {
+	if limited.Err() == nil {
 		departure.acknowledged()
-		i.worker.world.trigger(schedule.Drain)
+		i.worker.simulation.trigger(schedule.Drain)
 	}
 	until, end := context.WithTimeout(ctx, drainTime+serveAfterDrain)
 	defer end()
@@ -151,40 +151,40 @@
 	i.deregister(ctx, departure)
 }
 
-// deregister removes the worker from the list, with retries at other nodes for some time.
+// deregister deregisters the worker, with retries at other servers until drainTimeout.
 func (i *incarnation) deregister(ctx context.Context, departure *pendingDeparture) {
-	patience, cancel := context.WithTimeout(ctx, drainTimeout)
+	limited, cancel := context.WithTimeout(ctx, drainTimeout)
 	defer cancel()
-	for patience.Err() == nil {
+	for limited.Err() == nil {
 		if i.call(i.worker.pickServer(), server.APIDeregister, []byte("{}")) {
 			departure.acknowledged()
-			i.worker.world.trigger(schedule.Drain)
+			i.worker.simulation.trigger(schedule.Drain)
 			return
 		}
-		simnet.Sleep(patience, retryInterval)
+		simnet.Sleep(limited, retryInterval)
 	}
 }
 
-// depart plays an event that ends this incarnation.
+// depart executes an event that ends this incarnation.
 func (i *incarnation) depart(ctx context.Context, variant schedule.Variant) {
 	switch variant {
 	case schedule.WorkerDrain:
 		i.drain(ctx)
 	case schedule.WorkerDeregister:
 		i.stop()
-		i.deregister(ctx, i.worker.world.record.beginDeparture(i.id))
+		i.deregister(ctx, i.worker.simulation.record.beginDeparture(i.id))
 	case schedule.WorkerDeregisterFirst:
 		i.stop()
 		i.sendDelayed(ctx, drainTime, i.worker.pickServer(), i.delayedHeartbeat())
-		i.deregister(ctx, i.worker.world.record.beginDeparture(i.id))
+		i.deregister(ctx, i.worker.simulation.record.beginDeparture(i.id))
 		simnet.Sleep(ctx, drainTime)
 	default:
-		i.worker.world.record.beginDeparture(i.id)
+		i.worker.simulation.record.beginDeparture(i.id)
 		i.stop()
 	}
 }
 
-// delayedHeartbeat returns a heartbeat that was sent before the worker left and is still under way.
+// delayedHeartbeat returns the body of a heartbeat that counts as sent before the departure and arrives after it.
 func (i *incarnation) delayedHeartbeat() []byte {
 	body, _, _ := i.nextHeartbeat()
 	return body
