--- a/internal/testkit/controlplanesim/campaign/campaign.go
+++ b/internal/testkit/controlplanesim/campaign/campaign.go
@@ -32,15 +32,15 @@
 
 // Play plays the campaign's schedules, one shape after the other.
 func Play(ctx context.Context, plan Plan) ([]ShapeResult, error) {
-	var parts []ShapeResult
+	var results []ShapeResult
 	for _, shape := range plan.Shapes {
-		part, err := plan.playShape(ctx, shape)
-		parts = append(parts, part)
+		result, err := plan.playShape(ctx, shape)
+		results = append(results, result)
 		if err != nil {
-			return parts, err
+			return results, err
 		}
 	}
-	return parts, nil
+	return results, nil
 }
 
 // playShape plays the schedules of one shape in several processes.
@@ -68,13 +68,13 @@
 		return play
 	}
 	return func(ctx context.Context, request Request, ended func(Line)) error {
-		begun := time.Now()
+		started := time.Now()
 		var lines []Line
 		err := play(ctx, request, func(line Line) { lines = append(lines, line); ended(line) })
 		if err != nil {
 			return err
 		}
-		return p.Record.add(shape, request.First, lines, time.Since(begun).Seconds())
+		return p.Record.add(shape, request.First, lines, time.Since(started).Seconds())
 	}
 }
 
@@ -105,9 +105,9 @@
 // failsWithAllGuards reports whether the seed's schedule fails a check with all guards enabled.
 func (p Plan) failsWithAllGuards(ctx context.Context, seed uint64, shape schedule.Shape) bool {
 	shape.Omit = nil
-	broken := false
-	err := p.Player.Play(ctx, Request{Text: schedule.Draw(seed, shape).Format(), Count: 1}, func(line Line) { broken = len(line.Violations) > 0 })
-	return err != nil || broken
+	failed := false
+	err := p.Player.Play(ctx, Request{Text: schedule.Draw(seed, shape).Format(), Count: 1}, func(line Line) { failed = len(line.Violations) > 0 })
+	return err != nil || failed
 }
 
 // distribute plays chunks of seeds in several processes until all are played or the limit of failures is reached.
@@ -175,13 +175,13 @@
 
 // failsSameCheck reports whether the schedule fails one of the checks.
 func (p Plan) failsSameCheck(ctx context.Context, candidate schedule.Schedule, checks []string) bool {
-	broken := false
+	failed := false
 	err := p.Player.Play(ctx, Request{Text: candidate.Format(), Count: 1}, func(line Line) {
 		for _, finding := range line.Violations {
-			broken = broken || slices.Contains(checks, finding.Check)
+			failed = failed || slices.Contains(checks, finding.Check)
 		}
 	})
-	return err == nil && broken
+	return err == nil && failed
 }
 
 // PlayText plays one schedule, given in its text form.
@@ -205,31 +205,31 @@
 	first       uint64
 	maxFailures int
 	progress    io.Writer
-	begun       time.Time
+	started     time.Time
 
 	mutex    sync.Mutex
 	reported time.Time
-	found    ShapeResult
+	total    ShapeResult
 }
 
 func newTally(shape schedule.Shape, first uint64, maxFailures int, progress io.Writer) *tally {
 	now := time.Now()
-	return &tally{shape: shape, first: first, maxFailures: maxFailures, progress: progress, begun: now, reported: now,
-		found: newShapeResult(shape)}
+	return &tally{shape: shape, first: first, maxFailures: maxFailures, progress: progress, started: now, reported: now,
+		total: newShapeResult(shape)}
 }
 
 // add adds the result of one schedule and writes progress lines.
 func (t *tally) add(line Line) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.found.add(line)
+	t.total.add(line)
 	if len(line.Violations) > 0 {
 		fmt.Fprintf(t.progress, "%s: seed %d: %s\n", t.name(), line.Seed, strings.SplitN(line.Violations[0].Text, "\n", 2)[0])
 	}
 	if now := time.Now(); now.Sub(t.reported) >= progressInterval {
 		t.reported = now
-		rate := float64(t.found.Played) / now.Sub(t.begun).Seconds()
-		fmt.Fprintf(t.progress, "%s: %d schedules, %.1f a second, %d with violations\n", t.name(), t.found.Played, rate, len(t.found.Failures))
+		rate := float64(t.total.Played) / now.Sub(t.started).Seconds()
+		fmt.Fprintf(t.progress, "%s: %d schedules, %.1f a second, %d with violations\n", t.name(), t.total.Played, rate, len(t.total.Failures))
 	}
 }
 
@@ -246,18 +246,18 @@
 func (t *tally) reachedLimit() bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	return t.maxFailures > 0 && len(t.found.Failures) >= t.maxFailures
+	return t.maxFailures > 0 && len(t.total.Failures) >= t.maxFailures
 }
 
 // result returns the aggregated result, with the failures ordered by seed.
 func (t *tally) result() ShapeResult {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.found.First = t.first
-	slices.SortFunc(t.found.Failures, func(a, b Failure) int { return int(a.Seed) - int(b.Seed) })
-	if len(t.found.Failures) > 0 {
-		t.found.FoundAfter = int(t.found.Failures[0].Seed-t.first) + 1
+	t.total.First = t.first
+	slices.SortFunc(t.total.Failures, func(a, b Failure) int { return int(a.Seed) - int(b.Seed) })
+	if len(t.total.Failures) > 0 {
+		t.total.FoundAfter = int(t.total.Failures[0].Seed-t.first) + 1
 	}
-	t.found.Seconds = time.Since(t.begun).Seconds()
-	return t.found
+	t.total.Seconds = time.Since(t.started).Seconds()
+	return t.total
 }
--- a/internal/testkit/controlplanesim/cutoff_test.go
+++ b/internal/testkit/controlplanesim/cutoff_test.go
@@ -97,7 +97,7 @@
 			return
 		}
 		began, ended := sim.isolate(ctx, c, victim)
-		time.Sleep(scenarioLength - sim.record.now())
+		time.Sleep(scenarioLength - sim.recorder.now())
 		problems = append(problems, sim.acknowledgedDuringCut(victim, began+c.lease(), ended)...)
 	})
 	return report, problems
@@ -123,7 +123,7 @@
 
 // isolate runs the scenario and returns when the cut began and ended.
 func (sim *simulation) isolate(ctx context.Context, c cutScenario, victim int) (began, ended time.Duration) {
-	began = sim.record.now()
+	began = sim.recorder.now()
 	event := schedule.Event{
 		At: began, Kind: schedule.Cut, Variant: c.variant, Servers: []int{victim}, Agents: c.agents, For: cutDuration, Restart: c.restart,
 		Operators: []int{insideOperator}, Workers: []int{steadyWorker, drainWorker, leaveWorker},
@@ -149,7 +149,7 @@
 	} else {
 		sim.playCut(ctx, event)
 	}
-	return began, sim.record.now()
+	return began, sim.recorder.now()
 }
 
 // departDuringCut makes workers leave during the cut; they can report this only to the isolated server.
@@ -167,7 +167,7 @@
 
 // restartOthers restarts all servers but one at the same time and sends orders to them from then on.
 func (sim *simulation) restartOthers(ctx context.Context, victim int) {
-	endFault := sim.record.beginFault(history.Fault{What: "all others are killed", Core: true, Lost: sim.allSlots()})
+	endFault := sim.recorder.beginFault(history.Fault{What: "all others are killed", Core: true, Lost: sim.allSlots()})
 	var others []*machine
 	for _, m := range sim.currentMachines() {
 		if m.slot != victim {
@@ -217,9 +217,9 @@
 // acknowledgedDuringCut describes the final answers, positive or negative, that the isolated server gave although it could not
 // know whether they were current.
 func (sim *simulation) acknowledgedDuringCut(victim int, from, to time.Duration) []string {
-	seen, _ := sim.record.result()
+	recorded, _ := sim.recorder.result()
 	var problems []string
-	for _, one := range seen.Operations {
+	for _, one := range recorded.Operations {
 		if one.Server == victim && one.Call >= from && one.Return < to && one.Outcome != history.Unknown {
 			problems = append(problems, "final answer from the isolated server: "+one.String())
 		}
@@ -229,12 +229,12 @@
 			return instance == fmt.Sprintf("w%d-1", worker)
 		})
 	}
-	for _, one := range seen.Heartbeats {
+	for _, one := range recorded.Heartbeats {
 		if inside(one.Instance) && one.At >= from && one.At < to {
 			problems = append(problems, fmt.Sprintf("isolated server acknowledged a heartbeat of %s at %v", one.Instance, one.At))
 		}
 	}
-	for _, one := range seen.Departures {
+	for _, one := range recorded.Departures {
 		if inside(one.Instance) && one.Acknowledged >= from && one.Acknowledged < to {
 			problems = append(problems, fmt.Sprintf("isolated server acknowledged the departure of %s at %v", one.Instance, one.Acknowledged))
 		}
--- a/internal/testkit/controlplanesim/edge.go
+++ b/internal/testkit/controlplanesim/edge.go
@@ -33,23 +33,23 @@
 
 // run starts both processes, which run until ctx ends.
 func (e *edge) run(ctx context.Context) {
-	own, proxy := e.simulation.network.NewProcess(e.ip), e.simulation.network.NewProcess(e.ip)
-	e.processes = [2]*simnet.Process{own, proxy}
+	agentProcess, proxyProcess := e.simulation.network.NewProcess(e.ip), e.simulation.network.NewProcess(e.ip)
+	e.processes = [2]*simnet.Process{agentProcess, proxyProcess}
 	e.simulation.goroutines.Go(func() {
 		options := agent.Options{
-			Dial: own.Dial, Listen: own.Listen, Random: e.simulation.sharedRandom("agent", e.index), IntervalOrigin: time.Now(),
+			Dial: agentProcess.Dial, Listen: agentProcess.Listen, Random: e.simulation.sharedRandom("agent", e.index), IntervalOrigin: time.Now(),
 		}
 		if e.simulation.omissions.leaveStale {
 			options.StaleTimeout = unreachableTimeout
 		}
 		if err := agent.RunWith(ctx, e.settings(), options, e.simulation.log.With(zap.String("machine", e.ip))); err != nil {
-			e.simulation.record.addFault("an agent exited unexpectedly: " + err.Error())
+			e.simulation.recorder.addFailure("an agent exited unexpectedly: " + err.Error())
 		}
-		own.Kill()
+		agentProcess.Kill()
 	})
 	e.simulation.goroutines.Go(func() {
-		_ = e.client(proxy).Run(ctx)
-		proxy.Kill()
+		_ = e.client(proxyProcess).Run(ctx)
+		proxyProcess.Kill()
 	})
 }
 
@@ -158,17 +158,17 @@
 	if !f.complete {
 		return
 	}
-	record := f.edge.simulation.record
+	record := f.edge.simulation.recorder
 	view := f.builder.View()
-	now := history.View{Agent: f.edge.index, Incarnation: 1, At: record.now(), Generation: view.Generation}
+	current := history.View{Agent: f.edge.index, Incarnation: 1, At: record.now(), Generation: view.Generation}
 	if mark := view.Services[orderMarkerService]; mark != nil {
-		now.Order = strings.TrimPrefix(mark.HealthPath, "/")
+		current.Order = strings.TrimPrefix(mark.HealthPath, "/")
 	}
-	if now.Generation != f.published.Generation || now.Order != f.published.Order {
-		f.published = now
-		record.addView(now)
+	if current.Generation != f.published.Generation || current.Order != f.published.Order {
+		f.published = current
+		record.addView(current)
 	}
-	f.publishStates(now.At)
+	f.publishStates(current.At)
 }
 
 func (f *viewRecorder) publishStates(at time.Duration) {
@@ -191,5 +191,5 @@
 }
 
 func (f *viewRecorder) recordState(at time.Duration, id string, state history.State) {
-	f.edge.simulation.record.addPresence(history.Presence{Agent: f.edge.index, Incarnation: 1, At: at, Instance: id, State: state})
+	f.edge.simulation.recorder.addPresence(history.Presence{Agent: f.edge.index, Incarnation: 1, At: at, Instance: id, State: state})
 }
--- a/internal/testkit/controlplanesim/events.go
+++ b/internal/testkit/controlplanesim/events.go
@@ -19,31 +19,31 @@
 
 // playEvents executes all events at their times and returns when all have ended.
 func (sim *simulation) playEvents(ctx context.Context) {
-	ctx, stop := context.WithTimeout(ctx, sim.schedule.End()+recoveryTime-sim.record.now())
+	ctx, stop := context.WithTimeout(ctx, sim.schedule.End()+recoveryTime-sim.recorder.now())
 	defer stop() // if the core never recovers, operators would retry their orders forever
 	var playing sync.WaitGroup
 	for _, event := range sim.schedule.Events {
 		playing.Go(func() { sim.playEvent(ctx, event) })
 	}
-	if remaining := sim.schedule.Length - sim.record.now(); remaining > 0 {
+	if remaining := sim.schedule.Length - sim.recorder.now(); remaining > 0 {
 		time.Sleep(remaining)
 	}
 	playing.Wait()
 }
 
 func (sim *simulation) playEvent(ctx context.Context, event schedule.Event) {
-	time.Sleep(event.At - sim.record.now())
+	time.Sleep(event.At - sim.recorder.now())
 	if event.On != "" && !sim.awaitTrigger(event.On, event.Servers) {
 		return
 	}
 	time.Sleep(event.Delay)
 	event = sim.targetLeader(event)
-	if play := sim.players()[event.Kind]; play != nil {
+	if play := sim.eventHandlers()[event.Kind]; play != nil {
 		play(ctx, event)
 	}
 }
 
-func (sim *simulation) players() map[schedule.Kind]func(context.Context, schedule.Event) {
+func (sim *simulation) eventHandlers() map[schedule.Kind]func(context.Context, schedule.Event) {
 	return map[schedule.Kind]func(context.Context, schedule.Event){
 		schedule.Kill:        sim.playStop((*machine).kill),
 		schedule.Power:       sim.playStop((*machine).losePower),
@@ -70,7 +70,7 @@
 
 // beginCoreFault records a fault of the core. The function returned records its end.
 func (sim *simulation) beginCoreFault(event schedule.Event, lost []int) (endFault func()) {
-	return sim.record.beginFault(history.Fault{What: event.String(), Core: true, Lost: lost})
+	return sim.recorder.beginFault(history.Fault{What: event.String(), Core: true, Lost: lost})
 }
 
 // playStop stops machines with the given function and starts them again after the event's duration.
@@ -99,7 +99,7 @@
 // playStopAll stops all machines of the core; the event's servers lose their disks too.
 func (sim *simulation) playStopAll(down func(*machine)) func(context.Context, schedule.Event) {
 	return func(_ context.Context, event schedule.Event) {
-		endFault := sim.record.beginFault(history.Fault{What: event.String(), Core: true, Lasting: true, Lost: sim.allSlots()})
+		endFault := sim.recorder.beginFault(history.Fault{What: event.String(), Core: true, Lasting: true, Lost: sim.allSlots()})
 		all := sim.currentMachines()
 		var pending sync.WaitGroup
 		for _, m := range all {
@@ -126,7 +126,7 @@
 }
 
 func (sim *simulation) playFreeze(_ context.Context, event schedule.Event) {
-	endFault := sim.record.beginFault(history.Fault{
+	endFault := sim.recorder.beginFault(history.Fault{
 		What: event.String(), Core: len(event.Servers) > 0, Agents: event.Agents, Lost: event.Servers,
 	})
 	var thawAll []func()
@@ -150,7 +150,7 @@
 // processes are restarted during the cut and have only each other as seeds.
 func (sim *simulation) playCut(_ context.Context, event schedule.Event) {
 	targets := sim.machinesAt(event.Servers)
-	endFault := sim.record.beginFault(history.Fault{
+	endFault := sim.recorder.beginFault(history.Fault{
 		What: event.String(), Core: true, Agents: event.Agents, Lost: event.Servers, Isolated: addressesOf(targets), Lease: cutLease(event.Variant, len(event.Servers)),
 	})
 	heal := sim.network.Cut(sim.blockedPaths(event, targets))
@@ -291,7 +291,7 @@
 }
 
 func (sim *simulation) playDisk(_ context.Context, event schedule.Event) {
-	endFault := sim.record.beginFault(history.Fault{What: event.String(), Core: true, Lasting: true, Lost: event.Servers})
+	endFault := sim.recorder.beginFault(history.Fault{What: event.String(), Core: true, Lasting: true, Lost: event.Servers})
 	var repairs []func()
 	for _, m := range sim.machinesAt(event.Servers) {
 		repairs = append(repairs, m.disk.injectFault(event.Variant))
@@ -305,7 +305,7 @@
 
 func (sim *simulation) playLink(_ context.Context, event schedule.Event) {
 	core := len(event.Servers) > 0
-	endFault := sim.record.beginFault(history.Fault{What: event.String(), Core: core, Lasting: core, Agents: event.Agents, Lost: event.Servers})
+	endFault := sim.recorder.beginFault(history.Fault{What: event.String(), Core: core, Lasting: core, Agents: event.Agents, Lost: event.Servers})
 	hosts := make(map[string]bool)
 	for _, m := range sim.machinesAt(event.Servers) {
 		hosts[m.ip] = true
--- a/internal/testkit/controlplanesim/machine.go
+++ b/internal/testkit/controlplanesim/machine.go
@@ -81,7 +81,7 @@
 		Random:          sim.sharedRandom("keeper "+m.ip, start),
 		Dial:            incarnation.process.Dial,
 		Listen:          incarnation.process.Listen,
-		OnGroupStatus:   func(status replica.Status) { sim.record.observe(m, status) },
+		OnGroupStatus:   func(status replica.Status) { sim.recorder.observe(m, status) },
 		SnapshotEntries: uint64(sim.schedule.SnapshotEntries), RememberedChanges: sim.schedule.Remembered,
 		OmitGuards: sim.omissions.server, OmitConsensusRules: sim.omissions.consensus, OmitConfigurationRules: sim.omissions.configuration,
 	}
@@ -94,12 +94,12 @@
 		m.mutex.Lock()
 		incarnation.server, m.memberID = opened, opened.Self().ID
 		m.mutex.Unlock()
-		m.simulation.record.addMember(opened.Self().ID, m)
+		m.simulation.recorder.addMember(opened.Self().ID, m)
 		err = opened.Serve(ctx, &apiServer{machine: m, incarnation: incarnation, stop: make(chan struct{})})
 		opened.Close()
 	}
 	if !incarnation.process.Dead() && ctx.Err() == nil {
-		m.simulation.record.addFault("the server of " + m.ip + " exited unexpectedly: " + errorText(err))
+		m.simulation.recorder.addFailure("the server of " + m.ip + " exited unexpectedly: " + errorText(err))
 	}
 	incarnation.process.Kill()
 	m.processEnded(incarnation)
@@ -165,7 +165,7 @@
 	m.mutex.Lock()
 	lost := m.memberID
 	m.mutex.Unlock()
-	m.simulation.record.markDiskLost(lost)
+	m.simulation.recorder.markDiskLost(lost)
 }
 
 // terminate ends the process as SIGTERM does, and kills it after terminationGrace.
--- a/internal/testkit/controlplanesim/operator.go
+++ b/internal/testkit/controlplanesim/operator.go
@@ -41,7 +41,7 @@
 		o.send(ctx, o.makeOrder(0))
 	}
 	for simnet.Sleep(ctx, minPause+o.randomDuration(maxPause-minPause)) {
-		if o.draw(stepsPerRead) == 0 || o.base() == 0 {
+		if o.randomInt(stepsPerRead) == 0 || o.base() == 0 {
 			o.read(ctx, o.pickServer())
 			continue
 		}
@@ -56,7 +56,7 @@
 	}
 }
 
-func (o *operator) draw(below int) int {
+func (o *operator) randomInt(below int) int {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	return o.random.IntN(below)
@@ -130,7 +130,7 @@
 
 // attempt sends an order once and records the operation.
 func (o *operator) attempt(sent order, to *machine, attempt int) (status int) {
-	record := o.simulation.record
+	record := o.simulation.recorder
 	called := record.now()
 	o.simulation.trigger(schedule.Sent)
 	response := o.simulation.call(o.host, to, sent.request())
@@ -170,7 +170,7 @@
 
 // read requests the current configuration once.
 func (o *operator) read(_ context.Context, from *machine) {
-	record := o.simulation.record
+	record := o.simulation.recorder
 	called := record.now()
 	response := o.simulation.call(o.host, from, server.APIRequest{Call: server.APIRead})
 	done := history.Operation{
@@ -180,7 +180,7 @@
 	if _, accepted := classify(response.Status); accepted {
 		generation, name, err := readDocument(response.Body)
 		if err != nil {
-			record.addFault("the response to a read is not a configuration: " + err.Error())
+			record.addFailure("the response to a read is not a configuration: " + err.Error())
 			return
 		}
 		done.Generation, done.Order, done.Outcome = generation, name, history.Acknowledged
--- a/internal/testkit/controlplanesim/play.go
+++ b/internal/testkit/controlplanesim/play.go
@@ -17,31 +17,31 @@
 type Report struct {
 	Schedule   schedule.Schedule
 	Violations []history.Violation
-	Faults     []string // failures that the checks of the history cannot detect
+	Failures   []string // failures that the checks of the history cannot detect
 	History    history.History
 	Figures    Figures
 }
 
 // Figures are the operation counts of a run.
 type Figures struct {
-	Virtual      time.Duration // duration on the fake clock
-	Attempts     int           // of orders
-	Acknowledged int           // attempts that were acknowledged
-	Reads        int
-	Views        int
+	VirtualDuration time.Duration // duration on the fake clock
+	Attempts        int           // of orders
+	Acknowledged    int           // attempts that were acknowledged
+	Reads           int
+	Views           int
 }
 
 // Failed reports whether a check failed.
-func (r Report) Failed() bool { return len(r.Violations) > 0 || len(r.Faults) > 0 }
+func (r Report) Failed() bool { return len(r.Violations) > 0 || len(r.Failures) > 0 }
 
-// String lists the violations and faults, followed by the schedule in its text form for a replay.
+// String lists the violations and failures, followed by the schedule in its text form for a replay.
 func (r Report) String() string {
 	var text strings.Builder
 	for _, violation := range r.Violations {
 		text.WriteString(violation.String() + "\n")
 	}
-	for _, fault := range r.Faults {
-		text.WriteString("fault at " + fault + "\n")
+	for _, failure := range r.Failures {
+		text.WriteString("failure at " + failure + "\n")
 	}
 	text.WriteString(r.Schedule.Format())
 	return text.String()
@@ -69,7 +69,7 @@
 			t.Fatal(err)
 		}
 		sim.run(func(ctx context.Context) { script(sim, ctx) })
-		report.History, report.Faults = sim.record.result()
+		report.History, report.Failures = sim.recorder.result()
 	})
 	report.Violations = report.History.Check()
 	report.Figures = countFigures(report.History)
@@ -77,7 +77,7 @@
 }
 
 func countFigures(h history.History) Figures {
-	figures := Figures{Virtual: h.End, Views: len(h.Views)}
+	figures := Figures{VirtualDuration: h.End, Views: len(h.Views)}
 	for _, operation := range h.Operations {
 		switch operation.Kind {
 		case history.Read:
--- a/internal/testkit/controlplanesim/record.go
+++ b/internal/testkit/controlplanesim/record.go
@@ -20,8 +20,8 @@
 
 	mutex       sync.Mutex
 	ended       bool // set when the run ends; samples are no longer recorded
-	observed    history.History
-	faults      []string
+	history     history.History
+	failures    []string
 	departures  map[string]*pendingDeparture
 	members     map[consensus.MemberID]*memberRecord
 	groupStates [shards.ShardCount]history.GroupState // last recorded
@@ -38,8 +38,8 @@
 
 // pendingDeparture is a recorded departure whose acknowledgement may still be missing.
 type pendingDeparture struct {
-	record *recorder
-	index  int
+	recorder *recorder
+	index    int
 }
 
 func newRecorder(sim *simulation) *recorder {
@@ -55,32 +55,32 @@
 func (r *recorder) addOperation(one history.Operation) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.observed.Operations = append(r.observed.Operations, one)
+	r.history.Operations = append(r.history.Operations, one)
 }
 
 func (r *recorder) addView(one history.View) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.observed.Views = append(r.observed.Views, one)
+	r.history.Views = append(r.history.Views, one)
 }
 
 func (r *recorder) addHeartbeat(one history.Heartbeat) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.observed.Heartbeats = append(r.observed.Heartbeats, one)
+	r.history.Heartbeats = append(r.history.Heartbeats, one)
 }
 
 func (r *recorder) addPresence(one history.Presence) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.observed.Presences = append(r.observed.Presences, one)
+	r.history.Presences = append(r.history.Presences, one)
 }
 
-// addFault records a failure that the checks of the history cannot detect.
-func (r *recorder) addFault(text string) {
+// addFailure records a failure that the checks of the history cannot detect.
+func (r *recorder) addFailure(text string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.faults = append(r.faults, r.now().String()+": "+text)
+	r.failures = append(r.failures, r.now().String()+": "+text)
 }
 
 // beginDeparture records that a worker has begun to leave.
@@ -90,18 +90,18 @@
 	if known := r.departures[id]; known != nil {
 		return known
 	}
-	made := &pendingDeparture{record: r, index: len(r.observed.Departures)}
+	made := &pendingDeparture{recorder: r, index: len(r.history.Departures)}
 	r.departures[id] = made
-	r.observed.Departures = append(r.observed.Departures, history.Departure{Instance: id, From: r.now()})
+	r.history.Departures = append(r.history.Departures, history.Departure{Instance: id, From: r.now()})
 	return made
 }
 
 // acknowledged records the first acknowledgement of the departure.
 func (d *pendingDeparture) acknowledged() {
-	d.record.mutex.Lock()
-	defer d.record.mutex.Unlock()
-	if one := &d.record.observed.Departures[d.index]; one.Acknowledged == 0 {
-		one.Acknowledged = d.record.now()
+	d.recorder.mutex.Lock()
+	defer d.recorder.mutex.Unlock()
+	if one := &d.recorder.history.Departures[d.index]; one.Acknowledged == 0 {
+		one.Acknowledged = d.recorder.now()
 	}
 }
 
@@ -111,13 +111,13 @@
 	defer r.mutex.Unlock()
 	one.From = r.now()
 	one.To, one.Until = time.Hour, time.Hour
-	index := len(r.observed.Faults)
-	r.observed.Faults = append(r.observed.Faults, one)
+	index := len(r.history.Faults)
+	r.history.Faults = append(r.history.Faults, one)
 	return func() {
 		r.mutex.Lock()
 		defer r.mutex.Unlock()
-		r.observed.Faults[index].To = r.now()
-		r.observed.Faults[index].Until = r.now() + schedule.CatchUp
+		r.history.Faults[index].To = r.now()
+		r.history.Faults[index].Until = r.now() + schedule.CatchUp
 	}
 }
 
@@ -221,7 +221,7 @@
 
 // recordGroup records a group's state if it has changed.
 func (r *recorder) recordGroup(shard int, members []consensus.Member, committed uint64) {
-	now := history.GroupState{At: r.now(), Group: shard, Committed: committed}
+	current := history.GroupState{At: r.now(), Group: shard, Committed: committed}
 	for _, member := range members {
 		if !member.Voter {
 			continue
@@ -230,27 +230,27 @@
 		if known := r.members[member.ID]; known != nil {
 			voter.Slot, voter.Gone, voter.Durable = known.machine.slot, known.diskLost || known.machine.isRetired(), known.durable[shard]
 		}
-		now.Voters = append(now.Voters, voter)
+		current.Voters = append(current.Voters, voter)
 	}
-	slices.SortFunc(now.Voters, func(a, b history.Voter) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(current.Voters, func(a, b history.Voter) int { return cmp.Compare(a.ID, b.ID) })
 	before := r.groupStates[shard]
-	if before.Committed == now.Committed && slices.Equal(before.Voters, now.Voters) {
+	if before.Committed == current.Committed && slices.Equal(before.Voters, current.Voters) {
 		return
 	}
-	r.groupStates[shard] = now
-	r.observed.GroupStates = append(r.observed.GroupStates, now)
+	r.groupStates[shard] = current
+	r.history.GroupStates = append(r.history.GroupStates, current)
 }
 
 // result returns the recorded history in chronological order, and the recorded failures.
 func (r *recorder) result() (history.History, []string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	seen := r.observed
-	slices.SortStableFunc(seen.Operations, func(a, b history.Operation) int { return cmp.Compare(a.Call, b.Call) })
-	slices.SortStableFunc(seen.Views, func(a, b history.View) int { return cmp.Compare(a.At, b.At) })
-	slices.SortStableFunc(seen.Presences, func(a, b history.Presence) int { return cmp.Compare(a.At, b.At) })
-	slices.SortStableFunc(seen.GroupStates, func(a, b history.GroupState) int { return cmp.Compare(a.At, b.At) })
-	return seen, slices.Clone(r.faults)
+	recorded := r.history
+	slices.SortStableFunc(recorded.Operations, func(a, b history.Operation) int { return cmp.Compare(a.Call, b.Call) })
+	slices.SortStableFunc(recorded.Views, func(a, b history.View) int { return cmp.Compare(a.At, b.At) })
+	slices.SortStableFunc(recorded.Presences, func(a, b history.Presence) int { return cmp.Compare(a.At, b.At) })
+	slices.SortStableFunc(recorded.GroupStates, func(a, b history.GroupState) int { return cmp.Compare(a.At, b.At) })
+	return recorded, slices.Clone(r.failures)
 }
 
 // end records the end of the run, its bounds, and the formation of the core as a fault.
@@ -259,10 +259,10 @@
 	defer r.mutex.Unlock()
 	r.ended = true
 	s := r.simulation.schedule
-	r.observed.End, r.observed.Bounds = r.now(), bounds
-	r.observed.Tolerance, r.observed.Agents = s.Tolerance, s.Agents
-	r.observed.Faults = append(r.observed.Faults, history.Fault{
+	r.history.End, r.history.Bounds = r.now(), bounds
+	r.history.Tolerance, r.history.Agents = s.Tolerance, s.Agents
+	r.history.Faults = append(r.history.Faults, history.Fault{
 		What: "formation", To: formationTime, Core: true, Lasting: true, Lost: r.simulation.allSlots(), Until: formationTime,
 	})
-	r.observed.Wanted = min(max(2*s.Tolerance+1, seedCount), s.Servers)
+	r.history.Wanted = min(max(2*s.Tolerance+1, seedCount), s.Servers)
 }
--- a/internal/testkit/controlplanesim/request_test.go
+++ b/internal/testkit/controlplanesim/request_test.go
@@ -45,8 +45,8 @@
 	for _, violation := range report.Violations {
 		found = append(found, campaign.Finding{Check: violation.Check, Text: violation.String()})
 	}
-	for _, fault := range report.Faults {
-		found = append(found, campaign.Finding{Check: checkFault, Text: fault})
+	for _, failure := range report.Failures {
+		found = append(found, campaign.Finding{Check: checkFault, Text: failure})
 	}
 	return found
 }
--- a/internal/testkit/controlplanesim/simulation.go
+++ b/internal/testkit/controlplanesim/simulation.go
@@ -42,7 +42,7 @@
 	omissions  omissions
 	log        *zap.Logger // of the servers
 	network    *simnet.Network
-	record     *recorder
+	recorder   *recorder
 	goroutines sync.WaitGroup // all started goroutines
 	scripts    context.Context
 
@@ -81,7 +81,7 @@
 		schedule: played, omissions: omit, log: log, network: simnet.New(played.Seed), lostReplies: make(map[string]int),
 		triggers: make(map[schedule.Trigger]chan struct{}),
 	}
-	sim.record = newRecorder(sim)
+	sim.recorder = newRecorder(sim)
 	for slot := range played.Servers {
 		m := sim.newMachine(slot)
 		sim.current = append(sim.current, m)
@@ -290,7 +290,7 @@
 	sim.startScripts(scripts)
 	script(scripts)
 	time.Sleep(recoveryTime)
-	sim.record.end()
+	sim.recorder.end()
 	stopScripts()
 	sim.stopAll(stopEdges)
 }
@@ -318,7 +318,7 @@
 	}
 	sim.goroutines.Go(func() {
 		for simnet.Sleep(ctx, sampleInterval) {
-			sim.record.sample()
+			sim.recorder.sample()
 		}
 	})
 }
--- a/internal/testkit/controlplanesim/slow_events.go
+++ b/internal/testkit/controlplanesim/slow_events.go
@@ -91,7 +91,7 @@
 // playStall makes goroutines of servers stall after they have read the clock.
 func (sim *simulation) playStall(_ context.Context, event schedule.Event) {
 	targets := sim.machinesAt(event.Servers)
-	endFault := sim.record.beginFault(history.Fault{
+	endFault := sim.recorder.beginFault(history.Fault{
 		What: event.String(), Core: true, Lasting: true, Lost: event.Servers, Stalled: addressesOf(targets), MaxStall: maxStall,
 	})
 	var ends []func()
--- a/internal/testkit/controlplanesim/worker.go
+++ b/internal/testkit/controlplanesim/worker.go
@@ -86,10 +86,10 @@
 			i.sendDelayed(ctx, delay, to, body)
 			return false
 		}
-		called := i.worker.simulation.record.now()
+		called := i.worker.simulation.recorder.now()
 		if i.call(to, server.APIHeartbeat, body) {
-			i.worker.simulation.record.addHeartbeat(history.Heartbeat{
-				Instance: i.id, Call: called, At: i.worker.simulation.record.now(), Machine: to.ip, Draining: draining,
+			i.worker.simulation.recorder.addHeartbeat(history.Heartbeat{
+				Instance: i.id, Call: called, At: i.worker.simulation.recorder.now(), Machine: to.ip, Draining: draining,
 			})
 			return true
 		}
@@ -121,7 +121,7 @@
 func (i *incarnation) call(to *machine, kind server.APICall, body []byte) bool {
 	response := i.worker.simulation.call(i.worker.host, to, server.APIRequest{Call: kind, ID: i.id, Body: body})
 	if isRejection(response.Status) {
-		i.worker.simulation.record.addFault(fmt.Sprintf("a call of worker instance %s was rejected with status %d: %s", i.id, response.Status, response.Body))
+		i.worker.simulation.recorder.addFailure(fmt.Sprintf("a call of worker instance %s was rejected with status %d: %s", i.id, response.Status, response.Body))
 	}
 	return response.Status == http.StatusOK
 }
@@ -136,7 +136,7 @@
 func (i *incarnation) drain(ctx context.Context) {
 	i.stop() // ends the regular heartbeats; those with the draining state follow
 	i.setState("draining", 0)
-	departure := i.worker.simulation.record.beginDeparture(i.id)
+	departure := i.worker.simulation.recorder.beginDeparture(i.id)
 	limited, cancel := context.WithTimeout(ctx, drainTimeout)
 	defer cancel()
 	for limited.Err() == nil && !i.sendHeartbeat(limited) {
@@ -172,14 +172,14 @@
 		i.drain(ctx)
 	case schedule.WorkerDeregister:
 		i.stop()
-		i.deregister(ctx, i.worker.simulation.record.beginDeparture(i.id))
+		i.deregister(ctx, i.worker.simulation.recorder.beginDeparture(i.id))
 	case schedule.WorkerDeregisterFirst:
 		i.stop()
 		i.sendDelayed(ctx, drainTime, i.worker.pickServer(), i.delayedHeartbeat())
-		i.deregister(ctx, i.worker.simulation.record.beginDeparture(i.id))
+		i.deregister(ctx, i.worker.simulation.recorder.beginDeparture(i.id))
 		simnet.Sleep(ctx, drainTime)
 	default:
-		i.worker.simulation.record.beginDeparture(i.id)
+		i.worker.simulation.recorder.beginDeparture(i.id)
 		i.stop()
 	}
 }
