--- a/internal/testkit/controlplanesim/campaign/checkpoint.go
+++ b/internal/testkit/controlplanesim/campaign/checkpoint.go
@@ -31,32 +31,32 @@
 
 // LoadProgress reads a campaign's file. If there is none, the campaign starts from the beginning.
 func LoadProgress(path string) (*Progress, error) {
-	progress := &Progress{path: path}
+	checkpoint := &Progress{path: path}
 	text, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
-		return progress, nil
+		return checkpoint, nil
 	}
 	if err != nil {
 		return nil, err
 	}
-	if err := json.Unmarshal(text, &progress.parts); err != nil {
+	if err := json.Unmarshal(text, &checkpoint.parts); err != nil {
 		return nil, fmt.Errorf("parse the campaign's progress file %s: %w", path, err)
 	}
-	for i := range progress.parts {
-		progress.parts[i].Result.initializeDelays()
+	for i := range checkpoint.parts {
+		checkpoint.parts[i].Result.initializeDelays()
 	}
-	return progress, nil
+	return checkpoint, nil
 }
 
 // part returns the state of a shape, which it adds if necessary. The caller holds the mutex.
-func (p *Progress) part(shape schedule.Shape) *shapeCheckpoint {
-	for i := range p.parts {
-		if sameShape(p.parts[i].Shape, shape) {
-			return &p.parts[i]
+func (c *Progress) part(shape schedule.Shape) *shapeCheckpoint {
+	for i := range c.parts {
+		if sameShape(c.parts[i].Shape, shape) {
+			return &c.parts[i]
 		}
 	}
-	p.parts = append(p.parts, shapeCheckpoint{Shape: shape, Result: newShapeResult(shape)})
-	return &p.parts[len(p.parts)-1]
+	c.parts = append(c.parts, shapeCheckpoint{Shape: shape, Result: newShapeResult(shape)})
+	return &c.parts[len(c.parts)-1]
 }
 
 // sameShape reports whether two shapes generate the same schedules.
@@ -68,24 +68,24 @@
 }
 
 // has reports whether a chunk of a shape is recorded as played.
-func (p *Progress) has(shape schedule.Shape, first uint64) bool {
-	if p == nil {
+func (c *Progress) has(shape schedule.Shape, first uint64) bool {
+	if c == nil {
 		return false
 	}
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	_, found := slices.BinarySearch(p.part(shape).Chunks, first)
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	_, found := slices.BinarySearch(c.part(shape).Chunks, first)
 	return found
 }
 
 // add records a chunk and the results of its schedules, and writes the file.
-func (p *Progress) add(shape schedule.Shape, first uint64, lines []Line, seconds float64) error {
-	if p == nil {
+func (c *Progress) add(shape schedule.Shape, first uint64, lines []Line, seconds float64) error {
+	if c == nil {
 		return nil
 	}
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	part := p.part(shape)
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	part := c.part(shape)
 	position, found := slices.BinarySearch(part.Chunks, first)
 	if found {
 		return nil
@@ -96,28 +96,28 @@
 	}
 	part.Result.Seconds += seconds
 	part.Result.First = part.Chunks[0]
-	return p.write()
+	return c.write()
 }
 
 // write replaces the file atomically. The caller holds the mutex.
-func (p *Progress) write() error {
-	text, err := json.Marshal(p.parts)
+func (c *Progress) write() error {
+	text, err := json.Marshal(c.parts)
 	if err != nil {
 		return err
 	}
-	next := p.path + ".next"
+	next := c.path + ".next"
 	if err := os.WriteFile(next, text, 0o644); err != nil {
 		return err
 	}
-	return os.Rename(next, filepath.Clean(p.path))
+	return os.Rename(next, filepath.Clean(c.path))
 }
 
 // Results returns the results so far, one for each shape, ordered by servers and omitted guards.
-func (p *Progress) Results() []ShapeResult {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	results := make([]ShapeResult, 0, len(p.parts))
-	for _, part := range p.parts {
+func (c *Progress) Results() []ShapeResult {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	results := make([]ShapeResult, 0, len(c.parts))
+	for _, part := range c.parts {
 		results = append(results, part.Result)
 	}
 	slices.SortStableFunc(results, func(a, b ShapeResult) int {
