--- a/internal/testkit/controlplanesim/campaign/campaign.go
+++ b/internal/testkit/controlplanesim/campaign/campaign.go
@@ -12,46 +12,46 @@
 	"ospreybend/internal/testkit/controlplanesim/schedule"
 )
 
-// Plan describes a campaign: many drawn schedules, played by several processes.
+// Plan describes a campaign: many randomly generated schedules, played by several processes.
 type Plan struct {
 	Player    Player
-	Shapes    []schedule.Shape // each plays the same seeds; one that omits guards is played until a schedule fails
-	First     uint64           // seed
+	Shapes    []schedule.Shape // all use the same seeds; a shape that omits guards is played until a schedule fails
+	First     uint64           // first seed
 	Schedules int              // for each shape
 	Processes int
-	Shrink    time.Duration // for shrinking each failure; 0: none is shrunk
-	MaxFound  int           // failures after which a shape is not played further; 0: all schedules are played
+	Shrink    time.Duration // time limit for shrinking each failure; 0: failures are not shrunk
+	MaxFound  int           // number of failures after which a shape is abandoned; 0: all schedules are played
 	Progress  io.Writer
-	Record    *Progress // of a campaign that is played in parts; nil: it is played in one
+	Record    *Progress // for a campaign that can be resumed; nil: none
 }
 
 const (
-	chunkSeeds    = 10              // seeds that a process is given at a time
-	progressEvery = 5 * time.Second // between two lines of progress
+	seedsPerChunk    = 10              // seeds in one request to a process
+	progressInterval = 5 * time.Second // between two progress lines
 )
 
 // Play plays the campaign's schedules, one shape after the other.
 func Play(ctx context.Context, plan Plan) ([]ShapeResult, error) {
-	var parts []ShapeResult
+	var results []ShapeResult
 	for _, shape := range plan.Shapes {
-		part, err := plan.playShape(ctx, shape)
-		parts = append(parts, part)
+		result, err := plan.playShape(ctx, shape)
+		results = append(results, result)
 		if err != nil {
-			return parts, err
+			return results, err
 		}
 	}
-	return parts, nil
+	return results, nil
 }
 
 // playShape plays the schedules of one shape in several processes.
 func (p Plan) playShape(ctx context.Context, shape schedule.Shape) (ShapeResult, error) {
-	most := p.MaxFound
+	maxFailures := p.MaxFound
 	if len(shape.Omit) > 0 {
-		most = 1
+		maxFailures = 1
 	}
-	tally := newTally(shape, p.First, most, p.Progress)
-	player := p.player(shape)
-	err := p.distribute(ctx, tally, p.recorded(shape, player))
+	tally := newTally(shape, p.First, maxFailures, p.Progress)
+	player := p.playFuncFor(shape)
+	err := p.distribute(ctx, tally, p.withCheckpoint(shape, player))
 	part := tally.result()
 	if len(shape.Omit) > 0 && len(part.Failures) > 1 {
 		part.Failures = part.Failures[:1]
@@ -62,27 +62,28 @@
 	return part, err
 }
 
-// recorded has play record each chunk that was played completely, with the real time that it took.
-func (p Plan) recorded(shape schedule.Shape, play playFunc) playFunc {
+// withCheckpoint wraps play to record each completely played chunk, with the real time that it took.
+func (p Plan) withCheckpoint(shape schedule.Shape, play playFunc) playFunc {
 	if p.Record == nil {
 		return play
 	}
 	return func(ctx context.Context, request Request, ended func(Line)) error {
-		begun := time.Now()
+		started := time.Now()
 		var lines []Line
 		err := play(ctx, request, func(line Line) { lines = append(lines, line); ended(line) })
 		if err != nil {
 			return err
 		}
-		return p.Record.add(shape, request.First, lines, time.Since(begun).Seconds())
+		return p.Record.add(shape, request.First, lines, time.Since(started).Seconds())
 	}
 }
 
-// playFunc plays a request and hands over a line for each schedule that ended.
+// playFunc plays a request and calls ended with a line for each schedule that has ended.
 type playFunc func(ctx context.Context, request Request, ended func(Line)) error
 
-// player plays the shape's requests. For a shape that omits guards, only findings count that do not occur with all guards.
-func (p Plan) player(shape schedule.Shape) playFunc {
+// playFuncFor returns the function that plays the shape's requests. For a shape that omits guards, it drops the findings of
+// seeds that fail with all guards enabled too.
+func (p Plan) playFuncFor(shape schedule.Shape) playFunc {
 	if len(shape.Omit) == 0 {
 		return p.Player.Play
 	}
@@ -104,12 +105,12 @@
 // failsWithAllGuards reports whether the seed's schedule fails a check with all guards enabled.
 func (p Plan) failsWithAllGuards(ctx context.Context, seed uint64, shape schedule.Shape) bool {
 	shape.Omit = nil
-	broken := false
-	err := p.Player.Play(ctx, Request{Text: schedule.Draw(seed, shape).Format(), Count: 1}, func(line Line) { broken = len(line.Violations) > 0 })
-	return err != nil || broken
+	failed := false
+	err := p.Player.Play(ctx, Request{Text: schedule.Draw(seed, shape).Format(), Count: 1}, func(line Line) { failed = len(line.Violations) > 0 })
+	return err != nil || failed
 }
 
-// distribute sends chunks of seeds to the processes until all are played or enough failures are found.
+// distribute plays chunks of seeds in several processes until all are played or the limit of failures is reached.
 func (p Plan) distribute(ctx context.Context, tally *tally, play playFunc) error {
 	chunks := make(chan Request)
 	failed := make(chan error, p.Processes)
@@ -139,8 +140,8 @@
 }
 
 func (p Plan) sendChunks(ctx context.Context, tally *tally, chunks chan<- Request, failed <-chan error) error {
-	for played := 0; played < p.Schedules && !tally.enough(); played += chunkSeeds {
-		request := Request{Shape: tally.shape, First: p.First + uint64(played), Count: min(chunkSeeds, p.Schedules-played)}
+	for played := 0; played < p.Schedules && !tally.reachedLimit(); played += seedsPerChunk {
+		request := Request{Shape: tally.shape, First: p.First + uint64(played), Count: min(seedsPerChunk, p.Schedules-played)}
 		if p.Record.has(tally.shape, request.First) {
 			continue
 		}
@@ -155,7 +156,7 @@
 	return nil
 }
 
-// shrink reduces the failure's schedule as long as the same check fails.
+// shrink reduces the failure's schedule while one of the same checks still fails, within the time limit.
 func (p Plan) shrink(ctx context.Context, shape schedule.Shape, failure *Failure) {
 	drawn := schedule.Draw(failure.Seed, shape)
 	failure.Schedule = drawn.Format()
@@ -174,16 +175,16 @@
 
 // failsSameCheck reports whether the schedule fails one of the checks.
 func (p Plan) failsSameCheck(ctx context.Context, candidate schedule.Schedule, checks []string) bool {
-	broken := false
+	failed := false
 	err := p.Player.Play(ctx, Request{Text: candidate.Format(), Count: 1}, func(line Line) {
 		for _, finding := range line.Violations {
-			broken = broken || slices.Contains(checks, finding.Check)
+			failed = failed || slices.Contains(checks, finding.Check)
 		}
 	})
-	return err == nil && broken
+	return err == nil && failed
 }
 
-// PlayText plays one schedule.
+// PlayText plays one schedule, given in its text form.
 func PlayText(ctx context.Context, player Player, text string) (ShapeResult, error) {
 	parsed, err := schedule.Parse(text)
 	if err != nil {
@@ -198,41 +199,41 @@
 	return part, err
 }
 
-// tally counts the results that the processes report.
+// tally aggregates the results that the processes report for one shape.
 type tally struct {
-	shape    schedule.Shape
-	first    uint64
-	maxFound int
-	progress io.Writer
-	begun    time.Time
+	shape       schedule.Shape
+	first       uint64
+	maxFailures int
+	progress    io.Writer
+	started     time.Time
 
 	mutex    sync.Mutex
 	reported time.Time
-	found    ShapeResult
+	total    ShapeResult
 }
 
-func newTally(shape schedule.Shape, first uint64, most int, progress io.Writer) *tally {
+func newTally(shape schedule.Shape, first uint64, maxFailures int, progress io.Writer) *tally {
 	now := time.Now()
-	return &tally{shape: shape, first: first, maxFound: most, progress: progress, begun: now, reported: now,
-		found: newShapeResult(shape)}
+	return &tally{shape: shape, first: first, maxFailures: maxFailures, progress: progress, started: now, reported: now,
+		total: newShapeResult(shape)}
 }
 
-// add counts one schedule.
+// add adds the result of one schedule and writes progress lines.
 func (t *tally) add(line Line) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.found.add(line)
+	t.total.add(line)
 	if len(line.Violations) > 0 {
 		fmt.Fprintf(t.progress, "%s: seed %d: %s\n", t.name(), line.Seed, strings.SplitN(line.Violations[0].Text, "\n", 2)[0])
 	}
-	if now := time.Now(); now.Sub(t.reported) >= progressEvery {
+	if now := time.Now(); now.Sub(t.reported) >= progressInterval {
 		t.reported = now
-		rate := float64(t.found.Played) / now.Sub(t.begun).Seconds()
-		fmt.Fprintf(t.progress, "%s: %d schedules, %.1f a second, %d with violations\n", t.name(), t.found.Played, rate, len(t.found.Failures))
+		rate := float64(t.total.Played) / now.Sub(t.started).Seconds()
+		fmt.Fprintf(t.progress, "%s: %d schedules, %.1f a second, %d with violations\n", t.name(), t.total.Played, rate, len(t.total.Failures))
 	}
 }
 
-// name names the shape in lines of progress.
+// name returns the name of the shape in progress lines.
 func (t *tally) name() string {
 	name := fmt.Sprintf("%d servers", t.shape.Servers)
 	if len(t.shape.Omit) > 0 {
@@ -241,22 +242,22 @@
 	return name
 }
 
-// enough reports whether the shape has failed often enough.
-func (t *tally) enough() bool {
+// reachedLimit reports whether the limit of failures is reached.
+func (t *tally) reachedLimit() bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	return t.maxFound > 0 && len(t.found.Failures) >= t.maxFound
+	return t.maxFailures > 0 && len(t.total.Failures) >= t.maxFailures
 }
 
-// result is what was counted, its failures ordered by their seeds.
+// result returns the aggregated result, with the failures ordered by seed.
 func (t *tally) result() ShapeResult {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.found.First = t.first
-	slices.SortFunc(t.found.Failures, func(a, b Failure) int { return int(a.Seed) - int(b.Seed) })
-	if len(t.found.Failures) > 0 {
-		t.found.FoundAfter = int(t.found.Failures[0].Seed-t.first) + 1
+	t.total.First = t.first
+	slices.SortFunc(t.total.Failures, func(a, b Failure) int { return int(a.Seed) - int(b.Seed) })
+	if len(t.total.Failures) > 0 {
+		t.total.FoundAfter = int(t.total.Failures[0].Seed-t.first) + 1
 	}
-	t.found.Seconds = time.Since(t.begun).Seconds()
-	return t.found
+	t.total.Seconds = time.Since(t.started).Seconds()
+	return t.total
 }
--- a/internal/testkit/controlplanesim/record.go
+++ b/internal/testkit/controlplanesim/record.go
@@ -15,37 +15,37 @@
 
 // recorder collects the history of a run.
 type recorder struct {
-	world *world
-	start time.Time
+	simulation *simulation
+	start      time.Time
 
 	mutex       sync.Mutex
-	ended       bool // the run is at its end
-	observed    history.History
-	faults      []string
+	ended       bool // set when the run ends; samples are no longer recorded
+	history     history.History
+	failures    []string
 	departures  map[string]*pendingDeparture
-	members     map[consensus.MemberID]*knownMember
-	groupStates [shards.ShardCount]history.GroupState // the last ones
+	members     map[consensus.MemberID]*memberRecord
+	groupStates [shards.ShardCount]history.GroupState // last recorded
 	memberships [shards.ShardCount]membership
-	leaders     map[uint64]bool // terms of the configuration's group that had one
+	leaders     map[uint64]bool // terms of the configuration group that had a leader
 }
 
-// knownMember is what is known of a member ID.
-type knownMember struct {
-	machine *machine
-	gone    bool
-	durable [shards.ShardCount]uint64
+// memberRecord is the recorder's knowledge of a member ID.
+type memberRecord struct {
+	machine  *machine
+	diskLost bool
+	durable  [shards.ShardCount]uint64
 }
 
-// pendingDeparture is a departure that may not be acknowledged yet.
+// pendingDeparture is a recorded departure whose acknowledgement may still be missing.
 type pendingDeparture struct {
-	record *recorder
-	index  int
+	recorder *recorder
+	index    int
 }
 
-func newRecorder(w *world) *recorder {
+func newRecorder(sim *simulation) *recorder {
 	return &recorder{
-		world: w, start: time.Now(), departures: make(map[string]*pendingDeparture),
-		members: make(map[consensus.MemberID]*knownMember), leaders: make(map[uint64]bool),
+		simulation: sim, start: time.Now(), departures: make(map[string]*pendingDeparture),
+		members: make(map[consensus.MemberID]*memberRecord), leaders: make(map[uint64]bool),
 	}
 }
 
@@ -55,32 +55,32 @@
 func (r *recorder) addOperation(one history.Operation) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.observed.Operations = append(r.observed.Operations, one)
+	r.history.Operations = append(r.history.Operations, one)
 }
 
 func (r *recorder) addView(one history.View) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.observed.Views = append(r.observed.Views, one)
+	r.history.Views = append(r.history.Views, one)
 }
 
 func (r *recorder) addHeartbeat(one history.Heartbeat) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.observed.Heartbeats = append(r.observed.Heartbeats, one)
+	r.history.Heartbeats = append(r.history.Heartbeats, one)
 }
 
 func (r *recorder) addPresence(one history.Presence) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.observed.Presences = append(r.observed.Presences, one)
+	r.history.Presences = append(r.history.Presences, one)
 }
 
-// addFault records a failure that no check of the history would find.
-func (r *recorder) addFault(text string) {
+// addFailure records a failure that the checks of the history cannot detect.
+func (r *recorder) addFailure(text string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.faults = append(r.faults, r.now().String()+": "+text)
+	r.failures = append(r.failures, r.now().String()+": "+text)
 }
 
 // beginDeparture records that a worker has begun to leave.
@@ -90,71 +90,71 @@
 	if known := r.departures[id]; known != nil {
 		return known
 	}
-	made := &pendingDeparture{record: r, index: len(r.observed.Departures)}
+	made := &pendingDeparture{recorder: r, index: len(r.history.Departures)}
 	r.departures[id] = made
-	r.observed.Departures = append(r.observed.Departures, history.Departure{Instance: id, From: r.now()})
+	r.history.Departures = append(r.history.Departures, history.Departure{Instance: id, From: r.now()})
 	return made
 }
 
 // acknowledged records the first acknowledgement of the departure.
 func (d *pendingDeparture) acknowledged() {
-	d.record.mutex.Lock()
-	defer d.record.mutex.Unlock()
-	if one := &d.record.observed.Departures[d.index]; one.Acknowledged == 0 {
-		one.Acknowledged = d.record.now()
+	d.recorder.mutex.Lock()
+	defer d.recorder.mutex.Unlock()
+	if one := &d.recorder.history.Departures[d.index]; one.Acknowledged == 0 {
+		one.Acknowledged = d.recorder.now()
 	}
 }
 
-// beginFault records the beginning of a fault; over records its end.
-func (r *recorder) beginFault(one history.Fault) (over func()) {
+// beginFault records the start of a fault. The function returned records its end.
+func (r *recorder) beginFault(one history.Fault) (endFault func()) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	one.From = r.now()
 	one.To, one.Until = time.Hour, time.Hour
-	index := len(r.observed.Faults)
-	r.observed.Faults = append(r.observed.Faults, one)
+	index := len(r.history.Faults)
+	r.history.Faults = append(r.history.Faults, one)
 	return func() {
 		r.mutex.Lock()
 		defer r.mutex.Unlock()
-		r.observed.Faults[index].To = r.now()
-		r.observed.Faults[index].Until = r.now() + schedule.CatchUp
+		r.history.Faults[index].To = r.now()
+		r.history.Faults[index].Until = r.now() + schedule.CatchUp
 	}
 }
 
-// addMember records where a member ID is.
+// addMember records the machine of a member ID.
 func (r *recorder) addMember(id consensus.MemberID, m *machine) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if r.members[id] == nil {
-		r.members[id] = &knownMember{machine: m}
+		r.members[id] = &memberRecord{machine: m}
 	}
 }
 
-// markGone records that a member's disk is lost for good.
-func (r *recorder) markGone(id consensus.MemberID) {
+// markDiskLost records that a member's disk is permanently lost.
+func (r *recorder) markDiskLost(id consensus.MemberID) {
 	r.mutex.Lock()
 	if known := r.members[id]; known != nil {
-		known.gone = true
+		known.diskLost = true
 	}
 	r.mutex.Unlock()
 	r.sample()
 }
 
-// observe takes note of a change of a group's status at a machine. It must not block.
+// observe processes a change of a group's status at a machine. It must not block.
 func (r *recorder) observe(_ *machine, status replica.Status) {
 	if status.Shard == shards.ConfigurationShard && (status.Role == consensus.RoleCandidate || status.Role == consensus.RolePreCandidate) {
-		r.world.trigger(schedule.Candidacy)
+		r.simulation.trigger(schedule.Candidacy)
 	}
 	if !status.IsLeader() {
 		return
 	}
-	if status.Shard == shards.ConfigurationShard && r.firstOfTerm(status.Term) {
-		r.world.trigger(schedule.Election)
+	if status.Shard == shards.ConfigurationShard && r.isFirstLeaderOfTerm(status.Term) {
+		r.simulation.trigger(schedule.Election)
 	}
 	r.sample()
 }
 
-func (r *recorder) firstOfTerm(term uint64) bool {
+func (r *recorder) isFirstLeaderOfTerm(term uint64) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	first := !r.leaders[term]
@@ -162,10 +162,10 @@
 	return first
 }
 
-// sample records each group's members, as its leader has them, and what is durable at them. Since members go on while
-// they are asked one after the other, what is committed is asked of all before what is durable.
+// sample records each group's members according to its leader, and the durable index of each. Members are queried one after
+// the other and make progress meanwhile, so the commit index of all is read before the durable index of any.
 func (r *recorder) sample() {
-	all := r.world.allMachines()
+	all := r.simulation.allMachines()
 	var committed [shards.ShardCount]uint64
 	for _, m := range all {
 		for _, status := range m.inspect() {
@@ -179,12 +179,12 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if r.ended {
-		return // members are being stopped, and their states are not reported any more
+		return // members are being stopped and no longer report their states
 	}
 	var leading [shards.ShardCount]replica.Status
 	for i, m := range all {
 		for _, status := range states[i] {
-			r.noteDurable(m, status)
+			r.recordDurable(m, status)
 			if status.IsLeader() && status.Term >= leading[status.Shard].Term {
 				leading[status.Shard] = status
 			}
@@ -202,15 +202,15 @@
 	}
 }
 
-// membership is a group's membership as the leader of its newest term has it: one of a former term, frozen or partitioned off,
-// may have an older one.
+// membership is a group's membership according to the leader of its newest term. A leader of an earlier term that was frozen
+// or isolated may have an older one.
 type membership struct {
 	term      uint64
 	members   []consensus.Member
 	committed uint64
 }
 
-func (r *recorder) noteDurable(m *machine, status replica.Status) {
+func (r *recorder) recordDurable(m *machine, status replica.Status) {
 	m.mutex.Lock()
 	id := m.memberID
 	m.mutex.Unlock()
@@ -219,50 +219,50 @@
 	}
 }
 
-// recordGroup records a group's standing unless it is as before.
+// recordGroup records a group's state if it has changed.
 func (r *recorder) recordGroup(shard int, members []consensus.Member, committed uint64) {
-	now := history.GroupState{At: r.now(), Group: shard, Committed: committed}
+	current := history.GroupState{At: r.now(), Group: shard, Committed: committed}
 	for _, member := range members {
 		if !member.Voter {
 			continue
 		}
 		voter := history.Voter{ID: uint64(member.ID), Slot: -1}
 		if known := r.members[member.ID]; known != nil {
-			voter.Slot, voter.Gone, voter.Durable = known.machine.slot, known.gone || known.machine.isRetired(), known.durable[shard]
+			voter.Slot, voter.Gone, voter.Durable = known.machine.slot, known.diskLost || known.machine.isRetired(), known.durable[shard]
 		}
-		now.Voters = append(now.Voters, voter)
+		current.Voters = append(current.Voters, voter)
 	}
-	slices.SortFunc(now.Voters, func(a, b history.Voter) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(current.Voters, func(a, b history.Voter) int { return cmp.Compare(a.ID, b.ID) })
 	before := r.groupStates[shard]
-	if before.Committed == now.Committed && slices.Equal(before.Voters, now.Voters) {
+	if before.Committed == current.Committed && slices.Equal(before.Voters, current.Voters) {
 		return
 	}
-	r.groupStates[shard] = now
-	r.observed.GroupStates = append(r.observed.GroupStates, now)
+	r.groupStates[shard] = current
+	r.history.GroupStates = append(r.history.GroupStates, current)
 }
 
-// result returns what was recorded, in the order of time.
+// result returns the recorded history in chronological order, and the recorded failures.
 func (r *recorder) result() (history.History, []string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	seen := r.observed
-	slices.SortStableFunc(seen.Operations, func(a, b history.Operation) int { return cmp.Compare(a.Call, b.Call) })
-	slices.SortStableFunc(seen.Views, func(a, b history.View) int { return cmp.Compare(a.At, b.At) })
-	slices.SortStableFunc(seen.Presences, func(a, b history.Presence) int { return cmp.Compare(a.At, b.At) })
-	slices.SortStableFunc(seen.GroupStates, func(a, b history.GroupState) int { return cmp.Compare(a.At, b.At) })
-	return seen, slices.Clone(r.faults)
+	recorded := r.history
+	slices.SortStableFunc(recorded.Operations, func(a, b history.Operation) int { return cmp.Compare(a.Call, b.Call) })
+	slices.SortStableFunc(recorded.Views, func(a, b history.View) int { return cmp.Compare(a.At, b.At) })
+	slices.SortStableFunc(recorded.Presences, func(a, b history.Presence) int { return cmp.Compare(a.At, b.At) })
+	slices.SortStableFunc(recorded.GroupStates, func(a, b history.GroupState) int { return cmp.Compare(a.At, b.At) })
+	return recorded, slices.Clone(r.failures)
 }
 
-// end records the end of the run and its bounds.
+// end records the end of the run, its bounds, and the formation of the core as a fault.
 func (r *recorder) end() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.ended = true
-	s := r.world.schedule
-	r.observed.End, r.observed.Bounds = r.now(), bounds
-	r.observed.Tolerance, r.observed.Agents = s.Tolerance, s.Agents
-	r.observed.Faults = append(r.observed.Faults, history.Fault{
-		What: "formation", To: formationTime, Core: true, Lasting: true, Lost: r.world.allSlots(), Until: formationTime,
+	s := r.simulation.schedule
+	r.history.End, r.history.Bounds = r.now(), bounds
+	r.history.Tolerance, r.history.Agents = s.Tolerance, s.Agents
+	r.history.Faults = append(r.history.Faults, history.Fault{
+		What: "formation", To: formationTime, Core: true, Lasting: true, Lost: r.simulation.allSlots(), Until: formationTime,
 	})
-	r.observed.Wanted = min(max(2*s.Tolerance+1, seedCount), s.Servers)
+	r.history.Wanted = min(max(2*s.Tolerance+1, seedCount), s.Servers)
 }
