--- a/internal/testkit/controlplanesim/campaign/protocol.go
+++ b/internal/testkit/controlplanesim/campaign/protocol.go
@@ -12,8 +12,8 @@
 
 // Test is the name of the test that plays a request, and Variable the environment variable that contains the request.
 const (
-	Test     = "TestPlayRequest"
-	Variable = "OSPREYBEND_SIMULATE"
+	TestName     = "TestPlayRequest"
+	RequestVariable = "OSPREYBEND_SIMULATE"
 )
 
 // linePrefix marks the lines for the campaign; the test runner writes other lines.
@@ -23,7 +23,7 @@
 type Request struct {
 	Text  string         `json:"text,omitempty"`
 	Shape schedule.Shape `json:"shape"`
-	First uint64         `json:"first"`
+	FirstSeed uint64         `json:"first"`
 	Count int            `json:"count"`
 }
 
@@ -35,7 +35,7 @@
 	}
 	all := make([]schedule.Schedule, r.Count)
 	for i := range all {
-		all[i] = schedule.Draw(r.First+uint64(i), r.Shape)
+		all[i] = schedule.Draw(r.FirstSeed+uint64(i), r.Shape)
 	}
 	return all, nil
 }
@@ -77,14 +77,14 @@
 }
 
 // Requested returns the request from the environment, and whether there is one.
-func Requested() (Request, bool, error) {
-	text := os.Getenv(Variable)
+func RequestFromEnvironment() (Request, bool, error) {
+	text := os.Getenv(RequestVariable)
 	if text == "" {
 		return Request{}, false, nil
 	}
 	var request Request
 	if err := json.Unmarshal([]byte(text), &request); err != nil {
-		return request, true, fmt.Errorf("parse the request in the environment variable %s: %w", Variable, err)
+		return request, true, fmt.Errorf("parse the request in the environment variable %s: %w", RequestVariable, err)
 	}
 	return request, true, nil
 }
