--- a/cmd/inference-router/measure_simulate.go
+++ b/cmd/inference-router/measure_simulate.go
@@ -60,7 +60,7 @@
 			return exitFault
 		}
 	}
-	if err != nil || result.Violations() > 0 || len(result.Missed()) > 0 {
+	if err != nil || result.FailedSchedules() > 0 || len(result.UndetectedGuards()) > 0 {
 		return exitFault
 	}
 	return exitOK
@@ -87,19 +87,19 @@
 	}
 	player := campaign.Player{Binary: binary, Limit: c.Limit}
 	if c.Schedule != "" {
-		part, err := campaign.PlayText(ctx, player, string(text))
+		part, err := campaign.PlaySchedule(ctx, player, string(text))
 		return []campaign.ShapeResult{part}, err
 	}
-	plan := campaign.Plan{Player: player, Shapes: shapes, First: c.Seed, Schedules: c.Schedules, Processes: c.processes(),
-		Shrink: c.Shrink, MaxFound: c.MaxViolations, Progress: stdout}
+	plan := campaign.Plan{Player: player, Shapes: shapes, FirstSeed: c.Seed, Schedules: c.Schedules, Processes: c.processes(),
+		ShrinkLimit: c.Shrink, MaxFailures: c.MaxViolations, Progress: stdout}
 	if c.Resume == "" {
 		return campaign.Play(ctx, plan)
 	}
-	if plan.Record, err = campaign.LoadProgress(c.Resume); err != nil {
+	if plan.Checkpoint, err = campaign.LoadCheckpoint(c.Resume); err != nil {
 		return nil, err
 	}
 	_, err = campaign.Play(ctx, plan)
-	return plan.Record.Results(), err
+	return plan.Checkpoint.Results(), err
 }
 
 // shapes returns the parts of the campaign: each number of servers, without each of the omitted guards.
--- a/internal/testkit/controlplanesim/campaign/campaign.go
+++ b/internal/testkit/controlplanesim/campaign/campaign.go
@@ -14,15 +14,15 @@
 
 // Plan describes a campaign: many randomly generated schedules, played by several processes.
 type Plan struct {
-	Player    Player
-	Shapes    []schedule.Shape // all use the same seeds; a shape that omits guards is played until a schedule fails
-	First     uint64           // first seed
-	Schedules int              // for each shape
-	Processes int
-	Shrink    time.Duration // time limit for shrinking each failure; 0: failures are not shrunk
-	MaxFound  int           // number of failures after which a shape is abandoned; 0: all schedules are played
-	Progress  io.Writer
-	Record    *Progress // for a campaign that can be resumed; nil: none
+	Player      Player
+	Shapes      []schedule.Shape // all use the same seeds; a shape that omits guards is played until a schedule fails
+	FirstSeed   uint64           // first seed
+	Schedules   int              // for each shape
+	Processes   int
+	ShrinkLimit time.Duration // time limit for shrinking each failure; 0: failures are not shrunk
+	MaxFailures int           // number of failures after which a shape is abandoned; 0: all schedules are played
+	Progress    io.Writer
+	Checkpoint  *Checkpoint // for a campaign that can be resumed; nil: none
 }
 
 const (
@@ -45,11 +45,11 @@
 
 // playShape plays the schedules of one shape in several processes.
 func (p Plan) playShape(ctx context.Context, shape schedule.Shape) (ShapeResult, error) {
-	maxFailures := p.MaxFound
+	maxFailures := p.MaxFailures
 	if len(shape.Omit) > 0 {
 		maxFailures = 1
 	}
-	tally := newTally(shape, p.First, maxFailures, p.Progress)
+	tally := newTally(shape, p.FirstSeed, maxFailures, p.Progress)
 	player := p.playFuncFor(shape)
 	err := p.distribute(ctx, tally, p.withCheckpoint(shape, player))
 	part := tally.result()
@@ -64,7 +64,7 @@
 
 // withCheckpoint wraps play to record each completely played chunk, with the real time that it took.
 func (p Plan) withCheckpoint(shape schedule.Shape, play playFunc) playFunc {
-	if p.Record == nil {
+	if p.Checkpoint == nil {
 		return play
 	}
 	return func(ctx context.Context, request Request, ended func(Line)) error {
@@ -74,7 +74,7 @@
 		if err != nil {
 			return err
 		}
-		return p.Record.add(shape, request.First, lines, time.Since(started).Seconds())
+		return p.Checkpoint.add(shape, request.FirstSeed, lines, time.Since(started).Seconds())
 	}
 }
 
@@ -141,8 +141,8 @@
 
 func (p Plan) sendChunks(ctx context.Context, tally *tally, chunks chan<- Request, failed <-chan error) error {
 	for played := 0; played < p.Schedules && !tally.reachedLimit(); played += seedsPerChunk {
-		request := Request{Shape: tally.shape, First: p.First + uint64(played), Count: min(seedsPerChunk, p.Schedules-played)}
-		if p.Record.has(tally.shape, request.First) {
+		request := Request{Shape: tally.shape, FirstSeed: p.FirstSeed + uint64(played), Count: min(seedsPerChunk, p.Schedules-played)}
+		if p.Checkpoint.has(tally.shape, request.FirstSeed) {
 			continue
 		}
 		select {
@@ -160,10 +160,10 @@
 func (p Plan) shrink(ctx context.Context, shape schedule.Shape, failure *Failure) {
 	drawn := schedule.Draw(failure.Seed, shape)
 	failure.Schedule = drawn.Format()
-	if p.Shrink <= 0 {
+	if p.ShrinkLimit <= 0 {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, p.Shrink)
+	ctx, cancel := context.WithTimeout(ctx, p.ShrinkLimit)
 	defer cancel()
 	small := schedule.Shrink(drawn, func(candidate schedule.Schedule) bool {
 		return ctx.Err() == nil && candidate.Check() == nil && p.failsSameCheck(ctx, candidate, failure.Checks())
@@ -184,8 +184,8 @@
 	return err == nil && failed
 }
 
-// PlayText plays one schedule, given in its text form.
-func PlayText(ctx context.Context, player Player, text string) (ShapeResult, error) {
+// PlaySchedule plays one schedule, given in its text form.
+func PlaySchedule(ctx context.Context, player Player, text string) (ShapeResult, error) {
 	parsed, err := schedule.Parse(text)
 	if err != nil {
 		return ShapeResult{}, err
@@ -253,7 +253,7 @@
 func (t *tally) result() ShapeResult {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.total.First = t.first
+	t.total.FirstSeed = t.first
 	slices.SortFunc(t.total.Failures, func(a, b Failure) int { return int(a.Seed) - int(b.Seed) })
 	if len(t.total.Failures) > 0 {
 		t.total.FoundAfter = int(t.total.Failures[0].Seed-t.first) + 1
--- a/internal/testkit/controlplanesim/campaign/campaign_test.go
+++ b/internal/testkit/controlplanesim/campaign/campaign_test.go
@@ -31,7 +31,7 @@
 
 // TestPlayRequest fakes the simulation: the campaign runs this test binary in place of the simulation's.
 func TestPlayRequest(t *testing.T) {
-	request, given, err := campaign.Requested()
+	request, given, err := campaign.RequestFromEnvironment()
 	if !given {
 		t.Skip("run only by the campaign in a process of its own")
 	}
@@ -85,8 +85,8 @@
 
 func TestPlay_everySeedOnce(t *testing.T) {
 	var progress bytes.Buffer
-	parts, err := campaign.Play(context.Background(), campaign.Plan{Player: player(t), Shapes: []schedule.Shape{shape}, First: 10, Schedules: 35, Processes: 3,
-		Shrink: time.Minute, Progress: &progress})
+	parts, err := campaign.Play(context.Background(), campaign.Plan{Player: player(t), Shapes: []schedule.Shape{shape}, FirstSeed: 10, Schedules: 35, Processes: 3,
+		ShrinkLimit: time.Minute, Progress: &progress})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -118,12 +118,12 @@
 }
 
 func TestPlay_scheduleTimesOut(t *testing.T) {
-	parts, err := campaign.Play(context.Background(), campaign.Plan{Player: player(t), Shapes: []schedule.Shape{shape}, First: 60, Schedules: 6, Processes: 1,
+	parts, err := campaign.Play(context.Background(), campaign.Plan{Player: player(t), Shapes: []schedule.Shape{shape}, FirstSeed: 60, Schedules: 6, Processes: 1,
 		Progress: &bytes.Buffer{}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if part := parts[0]; part.Played != 6 || len(part.Failures) != 1 || part.Failures[0].Seed != seedEndless || part.Failures[0].Checks()[0] != campaign.CheckEndless {
+	if part := parts[0]; part.Played != 6 || len(part.Failures) != 1 || part.Failures[0].Seed != seedEndless || part.Failures[0].Checks()[0] != campaign.CheckTimeout {
 		t.Errorf("played %d schedules with failures %v, want 6 with a time-out of seed %d alone", part.Played, part.Failures, seedEndless)
 	}
 }
@@ -133,7 +133,7 @@
 func TestPlay_stopsOnceAnOmittedGuardIsFound(t *testing.T) {
 	without := shape
 	without.Omit = []string{"guard"}
-	parts, err := campaign.Play(context.Background(), campaign.Plan{Player: player(t), Shapes: []schedule.Shape{without}, First: 100, Schedules: 100000, Processes: 2,
+	parts, err := campaign.Play(context.Background(), campaign.Plan{Player: player(t), Shapes: []schedule.Shape{without}, FirstSeed: 100, Schedules: 100000, Processes: 2,
 		Progress: &bytes.Buffer{}})
 	if err != nil {
 		t.Fatal(err)
@@ -142,18 +142,18 @@
 		t.Errorf("found after %d schedules, %d failures, %d played; want 5, 1, at most 100", part.FoundAfter, len(part.Failures), part.Played)
 	}
 	result := campaign.Result{Parts: parts}
-	if result.Violations() != 0 || len(result.Missed()) != 0 {
-		t.Errorf("shape without a guard: got %d violations and missed guards %v, want none of either", result.Violations(), result.Missed())
+	if result.FailedSchedules() != 0 || len(result.UndetectedGuards()) != 0 {
+		t.Errorf("shape without a guard: got %d violations and missed guards %v, want none of either", result.FailedSchedules(), result.UndetectedGuards())
 	}
 }
 
 func TestPlayText(t *testing.T) {
 	drawn := schedule.Draw(seedFails, shape)
-	part, err := campaign.PlayText(context.Background(), player(t), drawn.Format())
+	part, err := campaign.PlaySchedule(context.Background(), player(t), drawn.Format())
 	if err != nil || part.Played != 1 || len(part.Failures) != 1 {
 		t.Fatalf("played %d, %d failures, error %v; want 1, 1, no error", part.Played, len(part.Failures), err)
 	}
-	if _, err := campaign.PlayText(context.Background(), player(t), "no schedule"); !errors.Is(err, schedule.ErrSyntax) {
+	if _, err := campaign.PlaySchedule(context.Background(), player(t), "no schedule"); !errors.Is(err, schedule.ErrSyntax) {
 		t.Errorf("play invalid schedule text: got error %v, want %v", err, schedule.ErrSyntax)
 	}
 }
@@ -172,7 +172,7 @@
 		{Servers: 3, Played: 100, Omit: []string{"vote-once"}},
 		{Servers: 3, Played: 20, Omit: []string{"vote-log"}, FoundAfter: 12, Failures: []campaign.Failure{{Seed: 12, Violations: []campaign.Finding{{Check: "one-body", Text: "two"}}, Schedule: "schedule seed=12\n"}}},
 	}}
-	if missed := result.Missed(); len(missed) != 1 || missed[0] != "vote-once" {
+	if missed := result.UndetectedGuards(); len(missed) != 1 || missed[0] != "vote-once" {
 		t.Errorf("got missed guards %v, want [vote-once]", missed)
 	}
 	var text bytes.Buffer
@@ -189,17 +189,17 @@
 func TestPlay_resumesWhereItEnded(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "progress.json")
 	play := func(schedules int) []campaign.ShapeResult {
-		record, err := campaign.LoadProgress(path)
+		record, err := campaign.LoadCheckpoint(path)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := campaign.Play(context.Background(), campaign.Plan{Player: player(t), Shapes: []schedule.Shape{shape}, First: 70,
-			Schedules: schedules, Processes: 2, Progress: io.Discard, Record: record}); err != nil {
+		if _, err := campaign.Play(context.Background(), campaign.Plan{Player: player(t), Shapes: []schedule.Shape{shape}, FirstSeed: 70,
+			Schedules: schedules, Processes: 2, Progress: io.Discard, Checkpoint: record}); err != nil {
 			t.Fatal(err)
 		}
 		return record.Results()
 	}
-	if first := play(20); len(first) != 1 || first[0].Played != 20 || first[0].First != 70 {
+	if first := play(20); len(first) != 1 || first[0].Played != 20 || first[0].FirstSeed != 70 {
 		t.Fatalf("first part: got %+v, want 20 schedules from seed 70", first)
 	}
 	both := play(50)
@@ -217,12 +217,12 @@
 // TestPlay_terminatedProcessIsNoFinding terminates a simulation process with SIGTERM: the campaign ends with an error, and the
 // chunk is not recorded.
 func TestPlay_terminatedProcessIsNoFinding(t *testing.T) {
-	record, err := campaign.LoadProgress(filepath.Join(t.TempDir(), "progress.json"))
+	record, err := campaign.LoadCheckpoint(filepath.Join(t.TempDir(), "progress.json"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, err = campaign.Play(context.Background(), campaign.Plan{Player: player(t), Shapes: []schedule.Shape{shape}, First: seedStopped,
-		Schedules: 1, Processes: 1, Progress: io.Discard, Record: record})
+	_, err = campaign.Play(context.Background(), campaign.Plan{Player: player(t), Shapes: []schedule.Shape{shape}, FirstSeed: seedStopped,
+		Schedules: 1, Processes: 1, Progress: io.Discard, Checkpoint: record})
 	if !errors.Is(err, campaign.ErrTerminated) {
 		t.Errorf("got error %v, want %v", err, campaign.ErrTerminated)
 	}
--- a/internal/testkit/controlplanesim/campaign/checkpoint.go
+++ b/internal/testkit/controlplanesim/campaign/checkpoint.go
@@ -14,9 +14,9 @@
 	"ospreybend/internal/testkit/controlplanesim/schedule"
 )
 
-// Progress is the stored state of a campaign that can be resumed. It is written to a file after each chunk of seeds, so that an
+// Checkpoint is the stored state of a campaign that can be resumed. It is written to a file after each chunk of seeds, so that an
 // interrupted campaign continues with the missing chunks.
-type Progress struct {
+type Checkpoint struct {
 	path  string
 	mutex sync.Mutex
 	parts []shapeCheckpoint
@@ -29,9 +29,9 @@
 	Result ShapeResult    `json:"result"`
 }
 
-// LoadProgress reads a campaign's file. If there is none, the campaign starts from the beginning.
-func LoadProgress(path string) (*Progress, error) {
-	checkpoint := &Progress{path: path}
+// LoadCheckpoint reads a campaign's file. If there is none, the campaign starts from the beginning.
+func LoadCheckpoint(path string) (*Checkpoint, error) {
+	checkpoint := &Checkpoint{path: path}
 	text, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return checkpoint, nil
@@ -49,7 +49,7 @@
 }
 
 // part returns the state of a shape, which it adds if necessary. The caller holds the mutex.
-func (c *Progress) part(shape schedule.Shape) *shapeCheckpoint {
+func (c *Checkpoint) part(shape schedule.Shape) *shapeCheckpoint {
 	for i := range c.parts {
 		if sameShape(c.parts[i].Shape, shape) {
 			return &c.parts[i]
@@ -68,7 +68,7 @@
 }
 
 // has reports whether a chunk of a shape is recorded as played.
-func (c *Progress) has(shape schedule.Shape, first uint64) bool {
+func (c *Checkpoint) has(shape schedule.Shape, first uint64) bool {
 	if c == nil {
 		return false
 	}
@@ -79,7 +79,7 @@
 }
 
 // add records a chunk and the results of its schedules, and writes the file.
-func (c *Progress) add(shape schedule.Shape, first uint64, lines []Line, seconds float64) error {
+func (c *Checkpoint) add(shape schedule.Shape, first uint64, lines []Line, seconds float64) error {
 	if c == nil {
 		return nil
 	}
@@ -95,12 +95,12 @@
 		part.Result.add(line)
 	}
 	part.Result.Seconds += seconds
-	part.Result.First = part.Chunks[0]
+	part.Result.FirstSeed = part.Chunks[0]
 	return c.write()
 }
 
 // write replaces the file atomically. The caller holds the mutex.
-func (c *Progress) write() error {
+func (c *Checkpoint) write() error {
 	text, err := json.Marshal(c.parts)
 	if err != nil {
 		return err
@@ -113,7 +113,7 @@
 }
 
 // Results returns the results so far, one for each shape, ordered by servers and omitted guards.
-func (c *Progress) Results() []ShapeResult {
+func (c *Checkpoint) Results() []ShapeResult {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	results := make([]ShapeResult, 0, len(c.parts))
--- a/internal/testkit/controlplanesim/campaign/player.go
+++ b/internal/testkit/controlplanesim/campaign/player.go
@@ -17,7 +17,7 @@
 // Names of checks that the campaign itself adds.
 const (
 	CheckDied    = "died"    // the process ended during the schedule
-	CheckEndless = "endless" // the schedule did not end within the limit
+	CheckTimeout = "endless" // the schedule did not end within the limit
 )
 
 var (
@@ -66,7 +66,7 @@
 		if played == 0 {
 			return fmt.Errorf("%w:\n%s", ErrPlayedNothing, strings.Join(outcome.output, "\n"))
 		}
-		request.First += uint64(played)
+		request.FirstSeed += uint64(played)
 		request.Count -= played
 	}
 }
@@ -85,7 +85,7 @@
 	line := Line{Seed: o.unfinished.Seed}
 	check := CheckDied
 	if o.timedOut {
-		check = CheckEndless
+		check = CheckTimeout
 	}
 	line.Violations = []Finding{{Check: check, Text: strings.Join(o.output, "\n")}}
 	return line
@@ -99,8 +99,8 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	command := exec.CommandContext(ctx, p.Binary, "-test.run=^"+Test+"$", "-test.timeout=0")
-	command.Env = append(os.Environ(), Variable+"="+string(text), "GOMAXPROCS=1")
+	command := exec.CommandContext(ctx, p.Binary, "-test.run=^"+TestName+"$", "-test.timeout=0")
+	command.Env = append(os.Environ(), RequestVariable+"="+string(text), "GOMAXPROCS=1")
 	command.Cancel = func() error { return command.Process.Signal(syscall.SIGQUIT) } // makes the Go runtime print all goroutines
 	command.WaitDelay = outputTimeout
 	output, err := command.StdoutPipe()
--- a/internal/testkit/controlplanesim/campaign/protocol.go
+++ b/internal/testkit/controlplanesim/campaign/protocol.go
@@ -10,21 +10,22 @@
 	"ospreybend/internal/testkit/controlplanesim/schedule"
 )
 
-// Test is the name of the test that plays a request, and Variable the environment variable that contains the request.
+// TestName is the name of the test that plays a request, and RequestVariable the environment variable that contains the request.
 const (
-	Test     = "TestPlayRequest"
-	Variable = "OSPREYBEND_SIMULATE"
+	TestName        = "TestPlayRequest"
+	RequestVariable = "OSPREYBEND_SIMULATE"
 )
 
 // linePrefix marks the lines for the campaign; the test runner writes other lines.
 const linePrefix = "simulate: "
 
-// Request selects the schedules for one process: one schedule as text, or Count generated ones with seeds from First on.
+// Request selects the schedules for one process: one schedule as text, or Count generated ones with seeds from FirstSeed
+// on.
 type Request struct {
-	Text  string         `json:"text,omitempty"`
-	Shape schedule.Shape `json:"shape"`
-	First uint64         `json:"first"`
-	Count int            `json:"count"`
+	Text      string         `json:"text,omitempty"`
+	Shape     schedule.Shape `json:"shape"`
+	FirstSeed uint64         `json:"first"`
+	Count     int            `json:"count"`
 }
 
 // Schedules returns the schedules of the request, in order.
@@ -35,7 +36,7 @@
 	}
 	all := make([]schedule.Schedule, r.Count)
 	for i := range all {
-		all[i] = schedule.Draw(r.First+uint64(i), r.Shape)
+		all[i] = schedule.Draw(r.FirstSeed+uint64(i), r.Shape)
 	}
 	return all, nil
 }
@@ -76,15 +77,15 @@
 	c.Faults += other.Faults
 }
 
-// Requested returns the request from the environment, and whether there is one.
-func Requested() (Request, bool, error) {
-	text := os.Getenv(Variable)
+// RequestFromEnvironment returns the request from the environment, and whether there is one.
+func RequestFromEnvironment() (Request, bool, error) {
+	text := os.Getenv(RequestVariable)
 	if text == "" {
 		return Request{}, false, nil
 	}
 	var request Request
 	if err := json.Unmarshal([]byte(text), &request); err != nil {
-		return request, true, fmt.Errorf("parse the request in the environment variable %s: %w", Variable, err)
+		return request, true, fmt.Errorf("parse the request in the environment variable %s: %w", RequestVariable, err)
 	}
 	return request, true, nil
 }
--- a/internal/testkit/controlplanesim/request_test.go
+++ b/internal/testkit/controlplanesim/request_test.go
@@ -13,7 +13,7 @@
 
 // TestPlayRequest plays the schedules that `inference-router measure simulate` requests from this process.
 func TestPlayRequest(t *testing.T) {
-	request, given, err := campaign.Requested()
+	request, given, err := campaign.RequestFromEnvironment()
 	if !given {
 		t.Skip("run only by inference-router measure simulate")
 	}
