--- a/internal/testkit/controlplanesim/campaign/campaign.go
+++ b/internal/testkit/controlplanesim/campaign/campaign.go
@@ -14,15 +14,15 @@
 
 // Plan describes a campaign: many randomly generated schedules, played by several processes.
 type Plan struct {
-	Player    Player
-	Shapes    []schedule.Shape // all use the same seeds; a shape that omits guards is played until a schedule fails
-	FirstSeed     uint64           // first seed
-	Schedules int              // for each shape
-	Processes int
-	ShrinkLimit    time.Duration // time limit for shrinking each failure; 0: failures are not shrunk
-	MaxFailures  int           // number of failures after which a shape is abandoned; 0: all schedules are played
-	Progress  io.Writer
-	Checkpoint    *Checkpoint // for a campaign that can be resumed; nil: none
+	Player      Player
+	Shapes      []schedule.Shape // all use the same seeds; a shape that omits guards is played until a schedule fails
+	FirstSeed   uint64           // first seed
+	Schedules   int              // for each shape
+	Processes   int
+	ShrinkLimit time.Duration // time limit for shrinking each failure; 0: failures are not shrunk
+	MaxFailures int           // number of failures after which a shape is abandoned; 0: all schedules are played
+	Progress    io.Writer
+	Checkpoint  *Checkpoint // for a campaign that can be resumed; nil: none
 }
 
 const (
@@ -184,7 +184,7 @@
 	return err == nil && failed
 }
 
-// PlayText plays one schedule, given in its text form.
+// PlaySchedule plays one schedule, given in its text form.
 func PlaySchedule(ctx context.Context, player Player, text string) (ShapeResult, error) {
 	parsed, err := schedule.Parse(text)
 	if err != nil {
--- a/internal/testkit/controlplanesim/campaign/checkpoint.go
+++ b/internal/testkit/controlplanesim/campaign/checkpoint.go
@@ -14,7 +14,7 @@
 	"ospreybend/internal/testkit/controlplanesim/schedule"
 )
 
-// Progress is the stored state of a campaign that can be resumed. It is written to a file after each chunk of seeds, so that an
+// Checkpoint is the stored state of a campaign that can be resumed. It is written to a file after each chunk of seeds, so that an
 // interrupted campaign continues with the missing chunks.
 type Checkpoint struct {
 	path  string
@@ -29,7 +29,7 @@
 	Result ShapeResult    `json:"result"`
 }
 
-// LoadProgress reads a campaign's file. If there is none, the campaign starts from the beginning.
+// LoadCheckpoint reads a campaign's file. If there is none, the campaign starts from the beginning.
 func LoadCheckpoint(path string) (*Checkpoint, error) {
 	checkpoint := &Checkpoint{path: path}
 	text, err := os.ReadFile(path)
--- a/internal/testkit/controlplanesim/campaign/protocol.go
+++ b/internal/testkit/controlplanesim/campaign/protocol.go
@@ -10,21 +10,22 @@
 	"ospreybend/internal/testkit/controlplanesim/schedule"
 )
 
-// Test is the name of the test that plays a request, and Variable the environment variable that contains the request.
+// TestName is the name of the test that plays a request, and RequestVariable the environment variable that contains the request.
 const (
-	TestName     = "TestPlayRequest"
+	TestName        = "TestPlayRequest"
 	RequestVariable = "OSPREYBEND_SIMULATE"
 )
 
 // linePrefix marks the lines for the campaign; the test runner writes other lines.
 const linePrefix = "simulate: "
 
-// Request selects the schedules for one process: one schedule as text, or Count generated ones with seeds from First on.
+// Request selects the schedules for one process: one schedule as text, or Count generated ones with seeds from FirstSeed
+// on.
 type Request struct {
-	Text  string         `json:"text,omitempty"`
-	Shape schedule.Shape `json:"shape"`
+	Text      string         `json:"text,omitempty"`
+	Shape     schedule.Shape `json:"shape"`
 	FirstSeed uint64         `json:"first"`
-	Count int            `json:"count"`
+	Count     int            `json:"count"`
 }
 
 // Schedules returns the schedules of the request, in order.
@@ -76,7 +77,7 @@
 	c.Faults += other.Faults
 }
 
-// Requested returns the request from the environment, and whether there is one.
+// RequestFromEnvironment returns the request from the environment, and whether there is one.
 func RequestFromEnvironment() (Request, bool, error) {
 	text := os.Getenv(RequestVariable)
 	if text == "" {
--- a/internal/testkit/controlplanesim/campaign/result.go
+++ b/internal/testkit/controlplanesim/campaign/result.go
@@ -23,7 +23,7 @@
 	Servers         int       `json:"keepers"`
 	Tolerance       int       `json:"tolerance"`
 	Omit            []string  `json:"omit,omitempty"`
-	FirstSeed           uint64    `json:"first"` // first seed
+	FirstSeed       uint64    `json:"first"` // first seed
 	Played          int       `json:"played"`
 	Seconds         float64   `json:"seconds"`
 	FoundAfter      int       `json:"foundAfter,omitempty"` // number of seeds up to and including the first with a violation
@@ -78,7 +78,7 @@
 	return names
 }
 
-// Violations returns the number of schedules with violations among the shapes that omit no guard.
+// FailedSchedules returns the number of schedules with violations among the shapes that omit no guard.
 func (r Result) FailedSchedules() int {
 	count := 0
 	for _, part := range r.Parts {
@@ -89,7 +89,7 @@
 	return count
 }
 
-// Missed returns the omitted guards whose absence caused no violation in any schedule.
+// UndetectedGuards returns the omitted guards whose absence caused no violation in any schedule.
 func (r Result) UndetectedGuards() []string {
 	var missed []string
 	for _, part := range r.Parts {
