--- a/balance/attempts.go
+++ b/balance/attempts.go
@@ -53,7 +53,7 @@
 	w.inFlightSlots += r.Slots
 	b.emit(Send{Request: r.ID, Worker: w.id})
 	if index := len(r.attempts) - 1; b.settings.ReportsStart {
-		wait := 2*max(0, f.delay-f.unqueuedDelay) + b.estimator.meanRun.WithPrior(0, 0)
+		wait := 2*max(0, f.delay-f.unqueuedDelay) + b.estimator.meanRun.Blend(0, 0)
 		startTimeout := minStartTimeout + time.Duration(wait*float64(time.Second))
 		b.schedule(startTimeout, func(now time.Duration) { b.checkStart(now, r, index, startTimeout) })
 		if r.inFlight == 1 && b.settings.Limits.Cancel {
@@ -157,9 +157,9 @@
 			// it looks idle and attracts ever more requests.
 			b.fleet.recordResult(now, w, r.Class, true)
 		}
-		b.fleet.recordFull(now, w, b.estimator.meanRun.WithPrior(defaultRunTime, 1))
+		b.fleet.recordFull(now, w, b.estimator.meanRun.Blend(defaultRunTime, 1))
 		w.delays.transfer.Add(now, b.estimator.sizeOf(r.job), ev.Elapsed.Seconds(), windowLen)
-		stats.GetOrCreate(b.estimator.zoneTransfer, w.zone).Add(ev.Elapsed.Seconds(), pooledSamples)
+		stats.Ensure(b.estimator.zoneTransfer, w.zone).Add(ev.Elapsed.Seconds(), pooledSamples)
 	case Errored, ConnectFailed, Reset, TimedOut:
 		if ev.Outcome != TimedOut || a.startedAt == 0 {
 			b.fleet.recordResult(now, w, r.Class, true)
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -145,7 +145,7 @@
 	}
 	b.requestsSinceBroadcast, b.lastBroadcastAt = 0, now
 	message := b.fleet.encodeLoad()
-	interval, affordable := b.fleet.messageInterval(len(message), b.requestRate.WithPrior(0, 0))
+	interval, affordable := b.fleet.messageInterval(len(message), b.requestRate.Blend(0, 0))
 	b.schedule(b.fleet.jitter(interval), b.broadcastLoad)
 	if affordable {
 		b.emit(SendToPeers{To: -1, Payload: message})
--- a/balance/estimate.go
+++ b/balance/estimate.go
@@ -48,19 +48,19 @@
 
 // estimator predicts delays from a worker's own samples and from samples pooled over many workers.
 type estimator struct {
-	classSize      []stats.Mean                    // by class: size of a job
-	kindSlowdown   map[int]*stats.Mean             // by worker kind: run time per second of size
-	hintCorrection map[classBucket]*stats.Mean     // run time at slowdown 1 per second of the cost hint
-	allSlowdown    stats.Mean                      // run time per second of size, over all workers
-	fullRate       stats.PooledRegression          // fraction of attempts rejected, by free slots beyond the job's
-	queueWait      map[int]*stats.PooledRegression // by queue priority: queue wait, by free slots beyond the job's
-	meanRun        stats.Mean                      // run time of all jobs
-	zoneTransfer   map[int]*stats.Mean             // by worker zone: round trips of rejections
-	minStartDelay  map[int]float64                 // by worker zone: least time from a send to the start report
+	classSize      []stats.Mean                // by class: size of a job
+	kindSlowdown   map[int]*stats.Mean         // by worker kind: run time per second of size
+	hintCorrection map[classBucket]*stats.Mean // run time at slowdown 1 per second of the cost hint
+	allSlowdown    stats.Mean                  // run time per second of size, over all workers
+	fullRate       stats.Regression            // fraction of attempts rejected, by free slots beyond the job's
+	queueWait      map[int]*stats.Regression   // by queue priority: queue wait, by free slots beyond the job's
+	meanRun        stats.Mean                  // run time of all jobs
+	zoneTransfer   map[int]*stats.Mean         // by worker zone: round trips of rejections
+	minStartDelay  map[int]float64             // by worker zone: least time from a send to the start report
 }
 
 func newEstimator(classes int) estimator {
-	return estimator{classSize: make([]stats.Mean, classes), queueWait: map[int]*stats.PooledRegression{},
+	return estimator{classSize: make([]stats.Mean, classes), queueWait: map[int]*stats.Regression{},
 		hintCorrection: map[classBucket]*stats.Mean{}, kindSlowdown: map[int]*stats.Mean{},
 		zoneTransfer: map[int]*stats.Mean{}, minStartDelay: map[int]float64{}}
 }
@@ -80,28 +80,28 @@
 		return j.cachedSize
 	}
 	if j.size > 0 {
-		return j.size * stats.GetOrCreate(e.hintCorrection, classBucket{j.class, j.bucket}).WithPrior(1, hintPriorSamples)
+		return j.size * stats.Ensure(e.hintCorrection, classBucket{j.class, j.bucket}).Blend(1, hintPriorSamples)
 	}
 	if m := e.classSize[j.class]; m.N > 0 {
 		return m.Sum / m.N
 	}
-	return e.meanRun.WithPrior(defaultRunTime, 1)
+	return e.meanRun.Blend(defaultRunTime, 1)
 }
 
 // slowdownOf estimates a worker's slowdown, its run time per second of size.
 func (e *estimator) slowdownOf(now time.Duration, delays *delaySamples, kind int) float64 {
-	prior := stats.GetOrCreate(e.kindSlowdown, kind).WithPrior(e.allSlowdown.WithPrior(1, 1), slowdownPriorSamples)
+	prior := stats.Ensure(e.kindSlowdown, kind).Blend(e.allSlowdown.Blend(1, 1), slowdownPriorSamples)
 	// This is a ratio of sums, as the ratio of a single small job, with an inexact hint or time, means little.
 	own := delays.slowdown.Fit(now, delays.sampleLifetime, 0)
-	priorSeconds := slowdownPriorSamples * e.meanRun.WithPrior(defaultRunTime, 1)
+	priorSeconds := slowdownPriorSamples * e.meanRun.Blend(defaultRunTime, 1)
 	return (own.SumY + prior*priorSeconds) / (own.SumX + priorSeconds)
 }
 
 // predictQueueWait predicts the queue wait at a worker with that many slots, of which some are free. The
 // prior is the time until the missing slots become free, smoothed as reports are off by about one slot.
 func (e *estimator) predictQueueWait(j job, free, slots float64) float64 {
-	pooled := stats.GetOrCreate(e.queueWait, j.priority)
-	prior := math.Log1p(math.Exp(j.slots-free)) * e.meanRun.WithPrior(defaultRunTime, 1) / slots
+	pooled := stats.Ensure(e.queueWait, j.priority)
+	prior := math.Log1p(math.Exp(j.slots-free)) * e.meanRun.Blend(defaultRunTime, 1) / slots
 	return (pooled.At(free-j.slots)*pooled.N + prior*waitPriorSamples) / (pooled.N + waitPriorSamples)
 }
 
@@ -111,7 +111,7 @@
 		return fit.At(e.sizeOf(j))
 	}
 	if m := e.zoneTransfer[zone]; m != nil {
-		return m.WithPrior(0, 0)
+		return m.Blend(0, 0)
 	}
 	return e.minStartDelay[zone]
 }
@@ -122,7 +122,7 @@
 	free, slots float64) float64 {
 	size := e.sizeOf(j)
 	pooled := e.slowdownOf(now, delays, kind)*size + e.predictQueueWait(j, free, slots)
-	own := stats.GetOrCreate(delays.processing, classBucket{j.class, j.bucket}).Fit(now, delays.sampleLifetime, -1)
+	own := stats.Ensure(delays.processing, classBucket{j.class, j.bucket}).Fit(now, delays.sampleLifetime, -1)
 	return estimate.Blend(own.At(free)*size, own.N, pooled, estimate.PriorSamples)
 }
 
@@ -133,28 +133,28 @@
 	run = max(run, minRunTime) // 0 would give a size of 0 and turn every later prediction into NaN
 	if j.size == 0 {
 		// Only the product of size and slowdown is known. Unless the mean slowdown is taken as 1, both drift.
-		slowdown := e.slowdownOf(now, delays, kind) / e.allSlowdown.WithPrior(1, 1)
+		slowdown := e.slowdownOf(now, delays, kind) / e.allSlowdown.Blend(1, 1)
 		// The sample is limited, as a few very large jobs would distort all latency targets and predictions.
 		m := &e.classSize[j.class]
-		m.Add(min(run/slowdown, outlierRatio*m.WithPrior(run/slowdown, 0)), pooledSamples)
+		m.Add(min(run/slowdown, outlierRatio*m.Blend(run/slowdown, 0)), pooledSamples)
 	}
 	if j.size > 0 {
 		// Inexact hints tend to be too low for small jobs and too high for large ones.
 		hintRatio := min(max(run/e.slowdownOf(now, delays, kind)/j.size, 1/outlierRatio), outlierRatio)
-		stats.GetOrCreate(e.hintCorrection, classBucket{j.class, j.bucket}).Add(hintRatio, pooledSamples)
+		stats.Ensure(e.hintCorrection, classBucket{j.class, j.bucket}).Add(hintRatio, pooledSamples)
 		e.classSize[j.class].Add(e.sizeOf(j), pooledSamples)
 	}
-	size, meanSlowdown := e.sizeOf(j), e.allSlowdown.WithPrior(1, 1)
+	size, meanSlowdown := e.sizeOf(j), e.allSlowdown.Blend(1, 1)
 	// A single outlier, above all the first job, must not determine the slowdown of all workers.
 	slowdown := min(max(run/size, meanSlowdown/outlierRatio), meanSlowdown*outlierRatio)
 	delays.slowdown.Add(now, size, slowdown*size, windowLen)
-	weight := size / e.meanRun.WithPrior(size, 1)
-	stats.GetOrCreate(e.kindSlowdown, kind).AddWeighted(slowdown, weight, pooledSamples)
+	weight := size / e.meanRun.Blend(size, 1)
+	stats.Ensure(e.kindSlowdown, kind).AddWeighted(slowdown, weight, pooledSamples)
 	e.allSlowdown.AddWeighted(slowdown, weight, pooledSamples)
 	e.meanRun.Add(run, pooledSamples)
-	stats.GetOrCreate(e.queueWait, j.priority).AddWeighted(free-j.slots, wait, 1, pooledSamples)
+	stats.Ensure(e.queueWait, j.priority).AddWeighted(free-j.slots, wait, 1, pooledSamples)
 	e.fullRate.AddWeighted(free-j.slots, 0, 1, pooledSamples)
 	// Otherwise, while all workers are busy, the fit would predict the same wait for an idle worker.
-	stats.GetOrCreate(e.queueWait, j.priority).AddWeighted(idle-j.slots, 0, idleSampleWeight, pooledSamples)
-	stats.GetOrCreate(delays.processing, classBucket{j.class, j.bucket}).Add(now, free, (wait+run)/size, windowLen)
+	stats.Ensure(e.queueWait, j.priority).AddWeighted(idle-j.slots, 0, idleSampleWeight, pooledSamples)
+	stats.Ensure(delays.processing, classBucket{j.class, j.bucket}).Add(now, free, (wait+run)/size, windowLen)
 }
--- a/balance/estimate_test.go
+++ b/balance/estimate_test.go
@@ -30,13 +30,13 @@
 	for range 40 {
 		e.recordProcessing(0, slow, 3, j, 2, 4, 0, 0.2)
 		slow.transfer.Add(0, e.sizeOf(j), 0.01, windowLen)
-		stats.GetOrCreate(e.zoneTransfer, 1).Add(0.01, pooledSamples)
+		stats.Ensure(e.zoneTransfer, 1).Add(0.01, pooledSamples)
 	}
 	processing, transfer := e.predictProcessing(0, unseen, 3, j, 2, 4), e.predictTransfer(0, unseen, 1, j)
 	assertNear(t, "processing by the samples of the kind", processing, 0.2, 0.02)
 	assertNear(t, "transfer by the samples of the zone", transfer, 0.01, 1e-9)
-	e.queueWait = map[int]*stats.PooledRegression{} // no samples
-	assertNear(t, "queue wait with 4 slots missing", e.predictQueueWait(j, -3, 4), 4*e.meanRun.WithPrior(0, 0)/4, 0.01)
+	e.queueWait = map[int]*stats.Regression{} // no samples
+	assertNear(t, "queue wait with 4 slots missing", e.predictQueueWait(j, -3, 4), 4*e.meanRun.Blend(0, 0)/4, 0.01)
 	assertNear(t, "queue wait with 5 slots free", e.predictQueueWait(j, 5, 4), 0, 0.01)
 }
 
--- a/balance/fleet.go
+++ b/balance/fleet.go
@@ -204,7 +204,7 @@
 	w.maxFree = max(w.maxFree, math.Round(free))
 	f.kindFree[w.kind] = max(f.kindFree[w.kind], w.maxFree)
 	free -= f.queuedSlots(w, free, fields)
-	stats.GetOrCreate(f.meanFree, w.kind).Add(free, reportSamples)
+	stats.Ensure(f.meanFree, w.kind).Add(free, reportSamples)
 	if free += w.inFlightSlots; w.hasReport {
 		free = (free + w.reportedFree) / 2
 	}
@@ -213,7 +213,7 @@
 
 // queuedSlots returns the slots that queued jobs need, to subtract: reported free slots are never negative.
 func (f *fleet) queuedSlots(w *worker, free float64, fields map[ReportField]float64) float64 {
-	slotsPerJob := f.jobSlots.WithPrior(1, 1)
+	slotsPerJob := f.jobSlots.Blend(1, 1)
 	if backlog, ok := fields[FieldBacklog]; ok {
 		if backlog > reportTolerance && f.settings.QueueOrder == FIFO {
 			return max(0, free) + backlog*slotsPerJob // the first job in the queue needs more than the free slots
@@ -229,7 +229,7 @@
 	if peers := f.settings.Balancers - 1; f.freshPeers*2 > peers && peers > 0 {
 		return f.slotsOf(w) - w.inFlightSlots - w.peerSlots*float64(peers)/float64(f.freshPeers)
 	}
-	mean := stats.GetOrCreate(f.meanFree, w.kind).WithPrior(f.slotsOf(w), 1)
+	mean := stats.Ensure(f.meanFree, w.kind).Blend(f.slotsOf(w), 1)
 	if !w.hasReport {
 		return mean - w.inFlightSlots
 	}
--- a/balance/homes.go
+++ b/balance/homes.go
@@ -38,5 +38,5 @@
 // fetchCost returns the expected cost, in seconds, of fetching the data of the request's key at a worker.
 func (b *Balancer) fetchCost(r *request, w *worker) float64 {
 	missProbability := 1 - 1/(1+max(0, b.fleet.keyRank(r.Key, w)-r.maxHomeRank))
-	return missProbability * fetchCostRuns * b.estimator.meanRun.WithPrior(b.estimator.sizeOf(r.job), 1)
+	return missProbability * fetchCostRuns * b.estimator.meanRun.Blend(b.estimator.sizeOf(r.job), 1)
 }
--- a/balance/placement.go
+++ b/balance/placement.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	queuePollInterval   = 20 * time.Millisecond // least interval between attempts to place a queued request
+	pollInterval        = 20 * time.Millisecond // least interval between attempts to place a queued request
 	pollsPerRun         = 8.                    // such attempts per mean run time, if that interval is longer
 	maxPollDoublings    = 3                     // doublings of the interval at most
 	unusedWorkerFactor  = 0.5                   // on the cost of an idle worker that never answered
@@ -24,17 +24,17 @@
 	}
 	maySend, mayReject := b.permit(now, r)
 	if !maySend {
-		b.rejectOrFail(now, r, b.estimator.meanRun.WithPrior(0, 0))
+		b.rejectOrFail(now, r, b.estimator.meanRun.Blend(0, 0))
 		return
 	}
 	f, ok := b.choose(now, r)
-	run := b.estimator.sizeOf(r.job) * min(1, b.estimator.allSlowdown.WithPrior(1, 1))
+	run := b.estimator.sizeOf(r.job) * min(1, b.estimator.allSlowdown.Blend(1, 1))
 	wait, remaining := f.delay-f.unqueuedDelay, b.timeLeft(now, r)
 	infeasible := wait+run > remaining // at the usual speed: one slow job must not make all look infeasible
 	switch {
 	case ok && b.sendProbes(now, r, f):
 	case !ok && run > remaining:
-		b.rejectOrFail(now, r, b.estimator.meanRun.WithPrior(0, 0)) // its target became infeasible in the queue
+		b.rejectOrFail(now, r, b.estimator.meanRun.Blend(0, 0)) // its target became infeasible in the queue
 	case !ok:
 		b.enqueue(now, r)
 	case b.inFlight == 0: // a balancer that rejects all requests by a wrong estimate would never correct it
@@ -57,7 +57,7 @@
 	for i := range b.settings.Classes {
 		c, size := &b.settings.Classes[i], &b.estimator.classSize[i]
 		if c.Value >= r.class.Value && (size.N > 0 || c == r.class) {
-			slack := (c.TargetStretch - b.estimator.allSlowdown.WithPrior(1, 1)) * size.WithPrior(b.estimator.sizeOf(r.job), 0)
+			slack := (c.TargetStretch - b.estimator.allSlowdown.Blend(1, 1)) * size.Blend(b.estimator.sizeOf(r.job), 0)
 			leastSlack = min(leastSlack, c.LatencyTarget.Seconds()+slack)
 		}
 	}
@@ -74,7 +74,7 @@
 // enqueue queues a request. It is placed again at growing intervals.
 func (b *Balancer) enqueue(now time.Duration, r *request) {
 	r.probingDone = false
-	delay := max(queuePollInterval, time.Duration(b.estimator.meanRun.WithPrior(0, 0)/pollsPerRun*float64(time.Second)))
+	delay := max(pollInterval, time.Duration(b.estimator.meanRun.Blend(0, 0)/pollsPerRun*float64(time.Second)))
 	r.retryAt = now + delay<<min(r.timesQueued, maxPollDoublings)
 	r.timesQueued++
 	b.appendToQueue(r)
@@ -85,7 +85,7 @@
 	r.queued, b.queue = true, append(b.queue, r)
 	if !b.queueTimerSet {
 		b.queueTimerSet = true
-		b.schedule(queuePollInterval, b.retryQueued)
+		b.schedule(pollInterval, b.retryQueued)
 	}
 }
 
@@ -123,7 +123,7 @@
 // choose returns the forecast of least cost among the eligible workers, if any. Ties are broken at random.
 func (b *Balancer) choose(now time.Duration, r *request) (forecast, bool) {
 	leastCost, first := math.Inf(1), r.firstPossiblyRun()
-	meanRun, eligible, knownFree, bestDraw := b.estimator.meanRun.WithPrior(defaultRunTime, 1), 0, 0, -1.
+	meanRun, eligible, knownFree, bestDraw := b.estimator.meanRun.Blend(defaultRunTime, 1), 0, 0, -1.
 	r.job.cachedSize = b.estimator.sizeOf(r.job)
 	target, remaining := b.latencyTarget(r), b.timeLeft(now, r)
 	b.ties = b.ties[:0]
--- a/balance/placement_test.go
+++ b/balance/placement_test.go
@@ -31,7 +31,7 @@
 func TestBalancer_sendsWithNothingInFlight(t *testing.T) {
 	b := newTestBalancer(t, testSettings(0), 1)
 	b.Handle(0, workerList(ListFull, 4))
-	stats.GetOrCreate(b.estimator.queueWait, 0).AddWeighted(0, 1000, 1, pooledSamples)
+	stats.Ensure(b.estimator.queueWait, 0).AddWeighted(0, 1000, 1, pooledSamples)
 	req := Request{ID: 1, Cost: time.Second, HasCost: true, Slots: 1, Deadline: 4 * time.Second}
 	if got := b.Handle(0, req); countActions[Send](got) != 1 {
 		t.Errorf("infeasible request with nothing in flight: got actions %+v, want one Send", got)
@@ -112,7 +112,7 @@
 	b := newBusyBalancer(t, s)
 	b.estimator.classSize[4].Add(0.01, pooledSamples)
 	for range 50 {
-		stats.GetOrCreate(b.estimator.queueWait, 0).AddWeighted(0, 0.7, 1, pooledSamples)
+		stats.Ensure(b.estimator.queueWait, 0).AddWeighted(0, 0.7, 1, pooledSamples)
 	}
 	req := Request{ID: 2, Cost: 100 * time.Millisecond, HasCost: true, Slots: 1, Deadline: 4 * time.Second}
 	if got := b.Handle(0, req); countActions[Send](got)+countActions[Reject](got) != 0 || len(b.queue) != 1 {
--- a/balance/probing.go
+++ b/balance/probing.go
@@ -53,7 +53,7 @@
 	// A class of lower value accepts a short wait. A request goes to any free worker if its homes are busy.
 	probed, neededSlots := r.probed, r.Slots-reportTolerance-(1-r.class.Value/b.maxValue)
 	r.probed, r.candidates = nil, slices.DeleteFunc(slices.Clone(probed), func(w *worker) bool {
-		free := b.fleet.freeSlots(now, w, b.estimator.meanRun.WithPrior(defaultRunTime, 1))
+		free := b.fleet.freeSlots(now, w, b.estimator.meanRun.Blend(defaultRunTime, 1))
 		return r.Key != 0 && free < neededSlots || !w.hasReport || w.reportedAt < r.probingStartedAt
 	})
 	f, ok := b.choose(now, r)
--- a/balance/state.go
+++ b/balance/state.go
@@ -26,7 +26,7 @@
 		}
 		a := attempt{worker: w, workerStarted: w.startedAt, sentAt: prior.SentAt, inFlight: prior.Out,
 			mayHaveRun: prior.MayHave}
-		a.freeSlots = b.fleet.freeSlots(now, w, b.estimator.meanRun.WithPrior(0, 0))
+		a.freeSlots = b.fleet.freeSlots(now, w, b.estimator.meanRun.Blend(0, 0))
 		if a.startedAt = prior.Started; prior.Started > 0 {
 			w.lastSeenAt = now
 		}
@@ -151,11 +151,11 @@
 	c.mean(*m)
 }
 
-func (c *stateCodec) pooled(p *stats.PooledRegression) { c.floats(&p.N, &p.SX, &p.SY, &p.SXX, &p.SXY) }
+func (c *stateCodec) pooled(p *stats.Regression) { c.floats(&p.N, &p.SX, &p.SY, &p.SXX, &p.SXY) }
 
-func (c *stateCodec) pooledPointer(p **stats.PooledRegression) {
+func (c *stateCodec) pooledPointer(p **stats.Regression) {
 	if *p == nil {
-		*p = &stats.PooledRegression{}
+		*p = &stats.Regression{}
 	}
 	c.pooled(*p)
 }
--- a/balance/state_test.go
+++ b/balance/state_test.go
@@ -92,7 +92,7 @@
 			job: job{bucket: 3, size: 0.05, slots: 1}}
 		difference := 0.0
 		predict := func(f *stateFixture, id WorkerID) forecast {
-			return f.predict(previous.now, r, f.fleet.byID[id], f.estimator.meanRun.WithPrior(0, 0), 1, 1)
+			return f.predict(previous.now, r, f.fleet.byID[id], f.estimator.meanRun.Blend(0, 0), 1, 1)
 		}
 		for id := range previous.fleet.byID {
 			a, b := predict(previous, id), predict(successor, id)
--- a/balance/view.go
+++ b/balance/view.go
@@ -37,7 +37,7 @@
 		if !b.fleet.isReady(w) {
 			continue
 		}
-		z := stats.GetOrCreate(byZone, w.zone)
+		z := stats.Ensure(byZone, w.zone)
 		slots := b.fleet.slotsOf(w)
 		z.WarmupDeficit += slots * (1 - b.fleet.capacityFraction(now, w))
 		z.Slots += slots
--- a/internal/dataplane/selection/admission.go
+++ b/internal/dataplane/selection/admission.go
@@ -56,8 +56,8 @@
 		a.unloadedByRoute = map[string]*stats.Mean{}
 	}
 	a.lastSeen[priorityLevel(request.Priority)] = now + 1
-	mean := stats.GetOrCreate(a.unloadedByRoute, request.Route)
-	typicalUnloaded := mean.WithPrior(unloaded, 0) // without this request, whose own size must not matter
+	mean := stats.Ensure(a.unloadedByRoute, request.Route)
+	typicalUnloaded := mean.Blend(unloaded, 0) // without this request, whose own size must not matter
 	mean.Add(min(unloaded, typicalUnloaded*maxOutlierRatio), unloadedTimeSamples)
 	return typicalUnloaded
 }
--- a/internal/dataplane/selection/affinity.go
+++ b/internal/dataplane/selection/affinity.go
@@ -51,7 +51,7 @@
 
 // rate returns this node's requests per second.
 func (p *segmentPopularity) rate() float64 {
-	return 1 / max(minRequestGap, p.requestGap.WithPrior(1, 1))
+	return 1 / max(minRequestGap, p.requestGap.Blend(1, 1))
 }
 
 // targetRankLimit returns the rank in the rendezvous order of the affinity key up to which workers are
--- a/internal/dataplane/selection/kvmemory.go
+++ b/internal/dataplane/selection/kvmemory.go
@@ -12,7 +12,7 @@
 func (s *service) occupiedTokens(w *worker, load workerLoad) float64 {
 	own := w.ownCalls()
 	others := max(0, load.running+load.waiting-own.running-own.waiting)
-	return w.reservedTokens + others*s.estimates[classDecode].requestTokens.WithPrior(defaultRequestTokens, requestTokensPriorSamples)
+	return w.reservedTokens + others*s.estimates[classDecode].requestTokens.Blend(defaultRequestTokens, requestTokensPriorSamples)
 }
 
 // memoryPenalty returns the penalty, in seconds, for a request of that many tokens on a worker whose KV
--- a/internal/dataplane/selection/load.go
+++ b/internal/dataplane/selection/load.go
@@ -69,7 +69,7 @@
 func (s *service) foreignLoad(now time.Duration, w *worker) (waiting, running float64) {
 	pooled := &s.estimates[w.class]
 	meanWeight := math.Exp(-max(0, now-pooled.lastReport).Seconds() / meanLoadDecay.Seconds())
-	waiting, running = pooled.foreignWaiting.WithPrior(0, 1)*meanWeight, pooled.foreignRunning.WithPrior(0, 1)*meanWeight
+	waiting, running = pooled.foreignWaiting.Blend(0, 1)*meanWeight, pooled.foreignRunning.Blend(0, 1)*meanWeight
 	if w.report.known {
 		reportWeight := math.Exp(-max(0, now-w.report.at).Seconds() / reportDecay.Seconds())
 		waiting += (w.report.waiting - waiting) * reportWeight
--- a/internal/dataplane/selection/prediction.go
+++ b/internal/dataplane/selection/prediction.go
@@ -40,13 +40,13 @@
 // classEstimates has the estimates that are pooled over all workers of a class. They are the priors for each
 // worker.
 type classEstimates struct {
-	slowdown         stats.Mean             // processing time relative to that on an unloaded worker of nominal speed
-	transferSlowdown stats.Mean             // the same for first events after a KV cache transfer
-	queueWait        stats.PooledRegression // queue wait against the negated load, as the fit never rises with x
-	sameZoneRTT      stats.Mean             // network time of calls within the node's zone, without sending the prompt
-	crossZoneRTT     stats.Mean             // the same for calls to other zones
-	unloadedTime     stats.Mean             // predicted processing time of the calls on an unloaded worker
-	requestTokens    stats.Mean             // tokens of KV cache that a running request reserves
+	slowdown         stats.Mean       // processing time relative to that on an unloaded worker of nominal speed
+	transferSlowdown stats.Mean       // the same for first events after a KV cache transfer
+	queueWait        stats.Regression // queue wait against the negated load, as the fit never rises with x
+	sameZoneRTT      stats.Mean       // network time of calls within the node's zone, without sending the prompt
+	crossZoneRTT     stats.Mean       // the same for calls to other zones
+	unloadedTime     stats.Mean       // predicted processing time of the calls on an unloaded worker
+	requestTokens    stats.Mean       // tokens of KV cache that a running request reserves
 
 	foreignRunning, foreignWaiting stats.Mean    // foreign load per worker
 	lastReport                     time.Duration // when a response last reported load
@@ -59,7 +59,7 @@
 	if class != classPlain {
 		prior = prefillBase + defaultPromptTokens*prefillPerToken
 	}
-	return max(minSeconds, e.unloadedTime.WithPrior(prior, constantPriorSamples))
+	return max(minSeconds, e.unloadedTime.Blend(prior, constantPriorSamples))
 }
 
 // task is the work of a call, independent of the worker's load.
@@ -104,14 +104,14 @@
 // rtt predicts the network time of a call, without sending the prompt and without a KV cache transfer.
 func (e *classEstimates) rtt(worker *worker) float64 {
 	if worker.sameZone {
-		return e.sameZoneRTT.WithPrior(defaultSameZoneRTT, constantPriorSamples)
+		return e.sameZoneRTT.Blend(defaultSameZoneRTT, constantPriorSamples)
 	}
-	return e.crossZoneRTT.WithPrior(defaultCrossZoneRTT, constantPriorSamples)
+	return e.crossZoneRTT.Blend(defaultCrossZoneRTT, constantPriorSamples)
 }
 
 // slowdownOf returns a worker's processing time relative to that on an unloaded worker of nominal speed.
 func (e *classEstimates) slowdownOf(now time.Duration, w *worker) float64 {
-	prior := e.slowdown.WithPrior(1, constantPriorSamples)
+	prior := e.slowdown.Blend(1, constantPriorSamples)
 	own := w.slowdown[w.class].Fit(now, sampleTTL, 0)
 	weight := slowdownPriorSamples * e.typicalUnloadedTime(w.class)
 	return (own.SumY + prior*weight) / (own.SumX + weight)
@@ -138,7 +138,7 @@
 	pooled := &s.estimates[w.class]
 	processing, queueWait := pooled.slowdownOf(now, w)*task.unloaded, s.queueWait(w, load)
 	if task.transfersKV { // the first token is decoded in the next step of the batch
-		processing, queueWait = pooled.transferSlowdown.WithPrior(1, constantPriorSamples)*task.unloaded, queueWait*transferWaitShare
+		processing, queueWait = pooled.transferSlowdown.Blend(1, constantPriorSamples)*task.unloaded, queueWait*transferWaitShare
 	}
 	fitted := w.delays[w.class].Process(now, task.bucket, load.fittedLoad(w.class), (processing+queueWait)/task.unloaded) * task.unloaded
 	scale := fitted / max(processing+queueWait, minSeconds)
@@ -170,10 +170,10 @@
 	s.learnNetworkTime(now, call, network)
 	w.delays[w.class].AddProcess(now, f.bucket, f.load.fittedLoad(w.class), (processing+queueWait)/f.unloaded)
 	if f.transfersKV {
-		pooled.transferSlowdown.Add(clampRatio(processing/f.unloaded, pooled.transferSlowdown.WithPrior(1, constantPriorSamples)), pooledSamples)
+		pooled.transferSlowdown.Add(clampRatio(processing/f.unloaded, pooled.transferSlowdown.Blend(1, constantPriorSamples)), pooledSamples)
 		return
 	}
-	ratio := clampRatio(processing/f.unloaded, pooled.slowdown.WithPrior(1, constantPriorSamples))
+	ratio := clampRatio(processing/f.unloaded, pooled.slowdown.Blend(1, constantPriorSamples))
 	w.slowdown[w.class].Add(now, f.unloaded, ratio*f.unloaded, estimate.WindowLength)
 	pooled.slowdown.AddWeighted(ratio, min(1, f.unloaded/pooled.typicalUnloadedTime(w.class)), pooledSamples)
 	pooled.unloadedTime.Add(f.unloaded, pooledSamples)
--- a/internal/util/estimate/estimate.go
+++ b/internal/util/estimate/estimate.go
@@ -58,7 +58,7 @@
 	if d.process == nil {
 		d.process = map[int]*stats.Window{}
 	}
-	stats.GetOrCreate(d.process, bucket).Add(now, load, ratio, WindowLength)
+	stats.Ensure(d.process, bucket).Add(now, load, ratio, WindowLength)
 }
 
 // Process predicts the processing time at a load, as a multiple of the time on an unloaded worker. pooled
--- a/internal/util/stats/mean.go
+++ b/internal/util/stats/mean.go
@@ -19,9 +19,9 @@
 	m.N, m.Sum = m.N+weight, m.Sum+value*weight
 }
 
-// WithPrior returns the mean, shrunk towards a prior that counts as a sample of the given weight. Without samples
+// Blend returns the mean, shrunk towards a prior that counts as a sample of the given weight. Without samples
 // it returns the prior.
-func (m *Mean) WithPrior(prior, weight float64) float64 {
+func (m *Mean) Blend(prior, weight float64) float64 {
 	if m.N+weight == 0 {
 		return prior
 	}
--- a/internal/util/stats/regression.go
+++ b/internal/util/stats/regression.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// minSpread is the variance of x below which a fitted line has slope 0.
+// minVariance is the variance of x below which a fitted line has slope 0.
 const minVariance = 0.05
 
 // Sample is one observation (X, Y) at a time.
@@ -14,7 +14,7 @@
 	X, Y float64
 }
 
-// Line is a least-squares fit y = A + B*x over N samples.
+// Line is a least-squares fit y = Intercept + Slope*x over N samples.
 type Line struct {
 	Intercept, Slope, N float64
 	SumX, SumY          float64
@@ -48,12 +48,12 @@
 	return l
 }
 
-// PooledRegression is a weighted linear regression over the samples of many workers, of which it keeps only the sums.
+// Regression is a weighted linear regression over the samples of many workers, of which it keeps only the sums.
 // Once the sum of the weights reaches a bound, older samples are scaled down. The zero value is empty.
-type PooledRegression struct{ N, SX, SY, SXX, SXY float64 }
+type Regression struct{ N, SX, SY, SXX, SXY float64 }
 
 // AddWeighted adds a sample. maxWeight bounds the sum of the weights.
-func (p *PooledRegression) AddWeighted(x, y, weight, maxWeight float64) {
+func (p *Regression) AddWeighted(x, y, weight, maxWeight float64) {
 	if p.N >= maxWeight {
 		factor := (maxWeight - weight) / p.N
 		p.N, p.SX, p.SY, p.SXX, p.SXY = p.N*factor, p.SX*factor, p.SY*factor, p.SXX*factor, p.SXY*factor
@@ -63,7 +63,7 @@
 }
 
 // At returns the fitted value at x. It is never negative and never increases with x.
-func (p *PooledRegression) At(x float64) float64 {
+func (p *Regression) At(x float64) float64 {
 	if p.N == 0 {
 		return 0
 	}
--- a/internal/util/stats/stats_test.go
+++ b/internal/util/stats/stats_test.go
@@ -72,9 +72,9 @@
 	for range 100 {
 		m.Add(2, 10)
 	}
-	assertNear(t, "mean after a change", m.WithPrior(0, 0), 2, 0.01)
+	assertNear(t, "mean after a change", m.Blend(0, 0), 2, 0.01)
 	var none Mean
-	assertNear(t, "empty mean", none.WithPrior(7, 0), 7, 0)
+	assertNear(t, "empty mean", none.Blend(7, 0), 7, 0)
 }
 
 func TestFailureRate_Probability_forgets(t *testing.T) {
