--- a/drmaa/bulk.go
+++ b/drmaa/bulk.go
@@ -27,15 +27,15 @@
 	case b.Template == nil:
 		return InvalidArgumentError("jobTemplate", "missing")
 	case b.Begin < 1 || b.Begin > maxIndex:
-		return InvalidArgumentError("beginIndex", "%d is not from 1 to %d", b.Begin, maxIndex)
+		return InvalidArgumentError("beginIndex", "not from 1 to %d", maxIndex)
 	case b.End < b.Begin || b.End > maxIndex:
-		return InvalidArgumentError("endIndex", "%d is not from beginIndex to %d", b.End, maxIndex)
+		return InvalidArgumentError("endIndex", "not from beginIndex to %d", maxIndex)
 	case b.Step < 1:
-		return InvalidArgumentError("step", "%d is below 1", b.Step)
+		return InvalidArgumentError("step", "under 1")
 	case b.MaxParallel < 0:
-		return InvalidArgumentError("maxParallel", "%d is below 0", b.MaxParallel)
+		return InvalidArgumentError("maxParallel", "under 0")
 	case b.Count() > MaxBulkJobs:
-		return InvalidArgumentError("endIndex", "the range has %d jobs; the maximum is %d", b.Count(), MaxBulkJobs)
+		return InvalidArgumentError("endIndex", "%d jobs, over %d", b.Count(), MaxBulkJobs)
 	}
 	return nil
 }
--- a/drmaa/filter.go
+++ b/drmaa/filter.go
@@ -60,7 +60,7 @@
 	}
 	for _, name := range sortedKeys(values) {
 		if len(values[name]) > 1 {
-			return filter, InvalidArgumentError(name, "is given more than once")
+			return filter, InvalidArgumentError(name, "given twice")
 		}
 		if e := filter.set(name, values.Get(name)); e != nil {
 			return filter, e
@@ -98,17 +98,17 @@
 	case "limit":
 		n, err := strconv.Atoi(value)
 		if err != nil || n < 1 || n > MaxListed {
-			return InvalidArgumentError(name, "%q is not a whole number from 1 to %d", value, MaxListed)
+			return InvalidArgumentError(name, "not from 1 to %d", MaxListed)
 		}
 		f.Limit = n
 	case "next":
 		cursor, ok := readCursor(value)
 		if !ok {
-			return InvalidArgumentError(name, "%q is not a cursor of this list", value)
+			return InvalidArgumentError(name, "%q is no cursor of this list", value)
 		}
 		f.Before = cursor
 	default:
-		return InvalidArgumentError(name, "unknown filter parameter")
+		return InvalidArgumentError(name, "no such filter")
 	}
 	return nil
 }
@@ -117,7 +117,7 @@
 func setTimestamp(name, value string, field *int64) *Error {
 	t, err := time.Parse(time.RFC3339Nano, value)
 	if err != nil {
-		return InvalidArgumentError(name, "%q is not an RFC 3339 timestamp", value)
+		return InvalidArgumentError(name, "%q is no time after RFC 3339", value)
 	}
 	*field = t.UnixMicro()
 	return nil
--- a/drmaa/template.go
+++ b/drmaa/template.go
@@ -57,22 +57,22 @@
 
 // UnsupportedAttributes maps each attribute of the standard that the binding rejects to the reason.
 var UnsupportedAttributes = map[string]string{
-	"workingDirectory":  "prep workers provide no working directory",
+	"workingDirectory":  "prep workers have no directories of their clients'",
 	"email":             "the service sends no mail",
 	"emailOnStarted":    "the service sends no mail",
 	"emailOnTerminated": "the service sends no mail",
-	"inputPath":         "the input is passed in the attribute 'input'",
+	"inputPath":         "the input is given as 'input'",
 	"outputPath":        "the output is the job's result",
 	"errorPath":         "the output is the job's result",
 	"joinFiles":         "the output is the job's result",
 	"reservationId":     "there are no advance reservations",
 	"candidateMachines": "the service chooses the prep worker",
 	"minPhysMemory":     "prep workers are not chosen by memory",
-	"machineOS":         "prep workers are not chosen by operating system",
+	"machineOS":         "prep workers are not chosen by system",
 	"machineArch":       "prep workers are not chosen by architecture",
 	"stageInFiles":      "no files are staged",
 	"stageOutFiles":     "no files are staged",
-	"resourceLimits":    "prep workers do not enforce resource limits",
+	"resourceLimits":    "prep workers enforce no limits of their clients'",
 	"jobEnvironment":    "prep workers are handed no environment",
 }
 
@@ -110,9 +110,9 @@
 	var typeError *json.UnmarshalTypeError
 	if errors.As(err, &typeError) {
 		if typeError.Field != "" {
-			return InvalidArgumentError(typeError.Field, "a JSON %s is not allowed here", typeError.Value)
+			return InvalidArgumentError(typeError.Field, "a %s makes no sense here", typeError.Value)
 		}
-		return &Error{Status: 400, Name: InvalidArgument, Message: what + " is not a JSON object: it is a " + typeError.Value}
+		return &Error{Status: 400, Name: InvalidArgument, Message: what + " is no JSON object: it is a " + typeError.Value}
 	}
 	if quoted, ok := strings.CutPrefix(err.Error(), "json: unknown field "); ok {
 		name, err := strconv.Unquote(quoted)
@@ -121,7 +121,7 @@
 		}
 		reason, known := UnsupportedAttributes[name]
 		if !known {
-			reason = "unknown attribute"
+			reason = "no such attribute"
 		}
 		return UnsupportedAttributeError(name, reason)
 	}
@@ -144,7 +144,7 @@
 	}
 	for _, a := range t.Args {
 		if a == "" || len(a) > MaxNameBytes || a == "." || a == ".." {
-			return InvalidArgumentError("args", "%q is not a valid path segment of 1 to %d bytes", a, MaxNameBytes)
+			return InvalidArgumentError("args", "%q is no part of a path", a)
 		}
 	}
 	return t.checkTimes(now)
@@ -158,15 +158,15 @@
 		case t.RemoteCommand == "":
 			t.RemoteCommand = alias.value
 		case t.RemoteCommand != alias.value:
-			return InvalidArgumentError(alias.attribute, "%q contradicts the class %q, which another attribute names", alias.value, t.RemoteCommand)
+			return InvalidArgumentError(alias.attribute, "%q is not the class %q that is named already", alias.value, t.RemoteCommand)
 		}
 	}
 	if t.RemoteCommand == "" {
-		return InvalidArgumentError("remoteCommand", "missing; it names the job class")
+		return InvalidArgumentError("remoteCommand", "missing; it names the class")
 	}
 	class, ok := classes[t.RemoteCommand]
 	if !ok {
-		return InvalidArgumentError("remoteCommand", "there is no job class %q", t.RemoteCommand)
+		return InvalidArgumentError("remoteCommand", "no class %q", t.RemoteCommand)
 	}
 	if t.Rerunnable != nil && *t.Rerunnable && class.NonIdempotent {
 		return UnsupportedAttributeError("rerunnable", "jobs of class "+t.RemoteCommand+" never run twice")
@@ -183,9 +183,9 @@
 		{"x_clientKey", t.ClientKey, MaxNameBytes}} {
 		switch {
 		case len(text.value) > text.maxBytes:
-			return InvalidArgumentError(text.attribute, "has %d bytes; the maximum is %d", len(text.value), text.maxBytes)
+			return InvalidArgumentError(text.attribute, "over %d bytes", text.maxBytes)
 		case text.attribute != "input" && (strings.ContainsFunc(text.value, unicode.IsControl) || !utf8.ValidString(text.value)):
-			return InvalidArgumentError(text.attribute, "contains a control character or is not valid UTF-8")
+			return InvalidArgumentError(text.attribute, "holds a control character")
 		}
 	}
 	return nil
@@ -195,21 +195,21 @@
 func (t *JobTemplate) checkNumbers() *Error {
 	switch {
 	case !(t.MinSlots >= 0) || t.MinSlots > MaxSlots:
-		return InvalidArgumentError("minSlots", "%v is not from 0 to %d", t.MinSlots, MaxSlots)
+		return InvalidArgumentError("minSlots", "not from 0 to %d", MaxSlots)
 	case !(t.MaxSlots >= 0) || t.MaxSlots > MaxSlots:
-		return InvalidArgumentError("maxSlots", "%v is not from 0 to %d", t.MaxSlots, MaxSlots)
+		return InvalidArgumentError("maxSlots", "not from 0 to %d", MaxSlots)
 	case t.MaxSlots > 0 && t.MaxSlots < t.Slots():
-		return InvalidArgumentError("maxSlots", "%v is less than minSlots (%v)", t.MaxSlots, t.Slots())
+		return InvalidArgumentError("maxSlots", "under minSlots")
 	case t.Priority < -MaxPriority || t.Priority > MaxPriority:
-		return InvalidArgumentError("priority", "%d is not from %d to %d", t.Priority, -MaxPriority, MaxPriority)
+		return InvalidArgumentError("priority", "not from %d to %d", -MaxPriority, MaxPriority)
 	case !(t.Deadline >= 0) || t.Deadline > MaxDeadline.Seconds():
-		return InvalidArgumentError("deadline", "%v is not from 0 to %v seconds", t.Deadline, MaxDeadline.Seconds())
+		return InvalidArgumentError("deadline", "not from 0 to %v seconds", MaxDeadline.Seconds())
 	case t.Deadline > 0 && t.DeadlineTime != "":
-		return InvalidArgumentError("deadlineTime", "must not be combined with deadline")
+		return InvalidArgumentError("deadlineTime", "deadline is given too")
 	case !(t.CostHint >= 0) || t.CostHint*1e6 > math.MaxUint32:
-		return InvalidArgumentError("x_costHint", "%v is not from 0 to %v seconds", t.CostHint, math.MaxUint32/1e6)
+		return InvalidArgumentError("x_costHint", "out of range")
 	case len(t.Args) > MaxArgs:
-		return InvalidArgumentError("args", "has %d entries; the maximum is %d", len(t.Args), MaxArgs)
+		return InvalidArgumentError("args", "over %d", MaxArgs)
 	}
 	return nil
 }
@@ -227,9 +227,9 @@
 		v, err := time.Parse(time.RFC3339Nano, at.text)
 		switch {
 		case err != nil:
-			return InvalidArgumentError(at.attribute, "%q is not an RFC 3339 timestamp", at.text)
+			return InvalidArgumentError(at.attribute, "%q is no time after RFC 3339", at.text)
 		case v.After(now.Add(MaxTimeAhead)):
-			return InvalidArgumentError(at.attribute, "is more than 366 days ahead")
+			return InvalidArgumentError(at.attribute, "over a year ahead")
 		}
 		*at.into = v
 	}
@@ -237,9 +237,9 @@
 	case !end.IsZero() && !end.After(now):
 		return InvalidArgumentError("deadlineTime", "has passed")
 	case !end.IsZero() && start.After(end):
-		return InvalidArgumentError("deadlineTime", "is before startTime")
+		return InvalidArgumentError("deadlineTime", "before startTime")
 	case t.Deadline > 0 && start.After(now.Add(seconds(t.Deadline))):
-		return InvalidArgumentError("deadline", "passes before startTime")
+		return InvalidArgumentError("deadline", "ends before startTime")
 	}
 	return nil
 }
