--- a/internal/node/batch/httpapi/admin.go
+++ b/internal/node/batch/httpapi/admin.go
@@ -136,9 +136,9 @@
 	switch {
 	case e != nil:
 	case in.Quota < 0 || in.Quota > maxQuota:
-		e = drmaa.InvalidArgumentError("maxUnfinishedJobs", "%d is not from 0 to %d", in.Quota, maxQuota)
+		e = drmaa.InvalidArgumentError("maxUnfinishedJobs", "not from 0 to %d", maxQuota)
 	case a.handler.jobs.Tenant(in.Name) != nil || a.creating[in.Name]:
-		e = drmaa.InvalidStateError("the tenant exists already")
+		e = drmaa.InvalidStateError("the tenant is there already")
 	}
 	if e != nil {
 		replyError(call, e)
@@ -163,7 +163,7 @@
 		return
 	}
 	if in.Name != name || in.Quota < 0 || in.Quota > maxQuota {
-		replyError(call, drmaa.InvalidArgumentError("maxUnfinishedJobs", "must be from 0 to %d, and the name, if given, must be the tenant's: got %d for %q", maxQuota, in.Quota, in.Name))
+		replyError(call, drmaa.InvalidArgumentError("maxUnfinishedJobs", "wants 0 to %d, and the tenant's own name", maxQuota))
 		return
 	}
 	a.storeTenant(call, in, 200, "")
@@ -221,7 +221,7 @@
 func (a *AdminHandler) listUndecided(call *protocol.Call, query string) {
 	f, e := drmaa.ReadFilter(query)
 	if e == nil && f.Query() != (drmaa.Filter{Limit: f.Limit, Before: f.Before}).Query() {
-		e = drmaa.InvalidArgumentError("query", "accepts only limit and next")
+		e = drmaa.InvalidArgumentError("query", "knows limit and next alone")
 	}
 	if e != nil {
 		replyError(call, e)
@@ -248,9 +248,9 @@
 	switch {
 	case e != nil:
 	case in.Ran == nil:
-		e = drmaa.InvalidArgumentError("ran", "missing; it must be true or false")
+		e = drmaa.InvalidArgumentError("ran", "missing: true or false")
 	case in.Reason == "" || len(in.Reason) > maxReasonBytes:
-		e = drmaa.InvalidArgumentError("reason", "has %d bytes; it must have 1 to %d", len(in.Reason), maxReasonBytes)
+		e = drmaa.InvalidArgumentError("reason", "wants 1 to %d bytes", maxReasonBytes)
 	}
 	if e != nil {
 		replyError(call, e)
--- a/internal/node/batch/httpapi/binding.go
+++ b/internal/node/batch/httpapi/binding.go
@@ -226,7 +226,7 @@
 func checkName(name string) *drmaa.Error {
 	if name == "" || len(name) > 64 || strings.Trim(name, "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_.") != "" ||
 		name == "." || name == ".." {
-		return drmaa.InvalidArgumentError("name", "must have 1 to 64 characters out of letters, digits, '-', '_' and '.'")
+		return drmaa.InvalidArgumentError("name", "wants 1 to 64 of letters, digits, '-', '_' and '.'")
 	}
 	return nil
 }
@@ -264,7 +264,7 @@
 	}
 	requirement, ok := map[string]string{"": "", "create": "create", "open": "exist"}[in.Mode]
 	if e == nil && !ok {
-		e = drmaa.InvalidArgumentError("mode", "%q is neither create nor open", in.Mode)
+		e = drmaa.InvalidArgumentError("mode", "neither create nor open")
 	}
 	if e != nil {
 		replyError(call, e)
--- a/internal/node/batch/httpapi/events.go
+++ b/internal/node/batch/httpapi/events.go
@@ -46,11 +46,11 @@
 			r.limit = int(n)
 			invalid = err != nil || !(n >= 1) || n > maxEvents
 		default:
-			replyError(call, drmaa.InvalidArgumentError(name, "unknown parameter"))
+			replyError(call, drmaa.InvalidArgumentError(name, "no such parameter"))
 			return
 		}
 		if invalid {
-			replyError(call, drmaa.InvalidArgumentError(name, "%q is not a valid value", v))
+			replyError(call, drmaa.InvalidArgumentError(name, "%q makes no sense here", v))
 			return
 		}
 	}
@@ -94,7 +94,7 @@
 	}
 	if !r.call.BeginStream(200, ndjsonType) {
 		r.stop()
-		replyError(r.call, &drmaa.Error{Status: 400, Name: drmaa.InvalidArgument, Attribute: "stream", Message: "stream: requires HTTP/1.1"})
+		replyError(r.call, &drmaa.Error{Status: 400, Name: drmaa.InvalidArgument, Attribute: "stream", Message: "stream: wants HTTP/1.1"})
 		return
 	}
 	r.writeLine(first)
--- a/internal/node/batch/httpapi/jobs.go
+++ b/internal/node/batch/httpapi/jobs.go
@@ -106,15 +106,15 @@
 	switch {
 	case e != nil:
 	case in.For != "terminated" && in.For != "started" && (!allowAll || in.For != "allTerminated"):
-		e = drmaa.InvalidArgumentError("for", "%q is not a condition that this call can wait for", in.For)
+		e = drmaa.InvalidArgumentError("for", "%q is nothing to wait for here", in.For)
 	case !(in.Timeout >= 0) || in.Timeout > maxWait.Seconds():
-		e = drmaa.InvalidArgumentError("timeout", "%v is not from 0 to %v seconds", in.Timeout, maxWait.Seconds())
+		e = drmaa.InvalidArgumentError("timeout", "not from 0 to %v seconds", maxWait.Seconds())
 	case !allowJobList && (in.Jobs != nil || in.Array != ""):
-		e = drmaa.InvalidArgumentError("jobs", "jobs and array are allowed only in the wait of a session")
+		e = drmaa.InvalidArgumentError("jobs", "of a session's wait alone")
 	case len(in.Jobs) > maxAwaitedJobs:
-		e = drmaa.InvalidArgumentError("jobs", "has %d entries; the maximum is %d", len(in.Jobs), maxAwaitedJobs)
+		e = drmaa.InvalidArgumentError("jobs", "over %d", maxAwaitedJobs)
 	case in.Jobs != nil && in.Array != "":
-		e = drmaa.InvalidArgumentError("array", "must not be combined with jobs")
+		e = drmaa.InvalidArgumentError("array", "jobs are given too")
 	case in.Jobs != nil && len(in.Jobs) == 0:
 		e = drmaa.InvalidArgumentError("jobs", "empty")
 	}
