--- a/internal/testkit/controlplanesim/history/contact.go
+++ b/internal/testkit/controlplanesim/history/contact.go
@@ -6,10 +6,11 @@
 	"time"
 )
 
-// Span is a time from one instant until before another.
+// Span is the half-open time interval [From, To).
 type Span struct{ From, To time.Duration }
 
-// InContact returns the spans in which the agent is in contact: for Contact before, nothing was done to it and the core was stable.
+// InContact returns the spans in which the agent is in contact: no fault affected it and the core was stable for at least
+// Bounds.Contact.
 func (h History) InContact(agent int) []Span {
 	var out []Span
 	for _, fault := range h.Faults {
@@ -22,7 +23,7 @@
 	return complement(out, h.End)
 }
 
-// unstableSpans returns the spans in which a fault keeps the core from being stable.
+// unstableSpans returns the spans in which the fault makes the core unstable.
 func (h History) unstableSpans(fault Fault) []Span {
 	switch {
 	case !fault.Core:
@@ -33,24 +34,24 @@
 	return []Span{{From: fault.From, To: fault.From + h.Bounds.Contact}, {From: fault.To, To: fault.To + h.Bounds.Contact}}
 }
 
-// complement returns the spans up to end that none of those given covers.
+// complement returns the spans between 0 and end that are not covered by any of the given spans.
 func complement(covered []Span, end time.Duration) []Span {
 	slices.SortFunc(covered, func(a, b Span) int { return cmp.Compare(a.From, b.From) })
 	var free []Span
-	at := time.Duration(0)
+	position := time.Duration(0)
 	for _, span := range covered {
-		if span.From > at {
-			free = append(free, Span{From: at, To: min(span.From, end)})
+		if span.From > position {
+			free = append(free, Span{From: position, To: min(span.From, end)})
 		}
-		at = max(at, span.To)
-		if at >= end {
+		position = max(position, span.To)
+		if position >= end {
 			return free
 		}
 	}
-	return append(free, Span{From: at, To: end})
+	return append(free, Span{From: position, To: end})
 }
 
-// covers reports whether one of the spans holds all the time from one instant to the other.
+// covers reports whether a single span contains both from and to, and so all the time in between.
 func covers(spans []Span, from, to time.Duration) bool {
 	return slices.ContainsFunc(spans, func(span Span) bool { return span.From <= from && to < span.To })
 }
--- a/internal/testkit/controlplanesim/history/doc.go
+++ b/internal/testkit/controlplanesim/history/doc.go
@@ -1,4 +1,5 @@
-// Package history holds what a simulated control plane was seen to do, and checks it against what its callers were
-// promised: orders and reads are linearizable, views follow what was acknowledged, no departure is forgotten, every
-// registration is seen, the group serves again after each disruption, and a majority survives at every instant.
+// Package history records the observable behavior of a simulated control plane and checks it against the guarantees given
+// to callers: configuration changes ("orders") and reads are linearizable, agents' views follow acknowledged changes, no
+// acknowledged departure is lost, every registration becomes visible, the group serves again after each disruption, and every
+// group keeps a majority of its voters at all times.
 package history
--- a/internal/testkit/controlplanesim/history/history_test.go
+++ b/internal/testkit/controlplanesim/history/history_test.go
@@ -10,26 +10,26 @@
 
 const second = time.Second
 
-// base is a history without anything in it; all of its time from Contact on is in contact.
-func base() history.History {
+// emptyHistory returns a history without events, in which agents are in contact from Bounds.Contact on.
+func emptyHistory() history.History {
 	return history.History{
 		Bounds:    history.Bounds{Contact: 3 * second, ConfigApply: 2 * second, Drain: 2 * second, Registration: 2 * second, ServeAgain: 6 * second},
 		Tolerance: 1, Wanted: 3, Agents: 2, End: 60 * second,
 	}
 }
 
-// order is an attempt of an order from at for 100 ms.
-func order(name string, on, generation uint64, at time.Duration, outcome history.Outcome) history.Operation {
+// order returns an attempt of an order that is called at the given time and returns after 100 ms.
+func order(name string, base, generation uint64, at time.Duration, outcome history.Outcome) history.Operation {
 	status := map[history.Outcome]int{history.Acknowledged: 200, history.Rejected: 412, history.Unknown: 0}[outcome]
-	return history.Operation{Kind: history.Replace, Order: name, Base: on, Generation: generation, Call: at, Return: at + 100*time.Millisecond, Outcome: outcome, Status: status}
+	return history.Operation{Kind: history.Replace, Order: name, Base: base, Generation: generation, Call: at, Return: at + 100*time.Millisecond, Outcome: outcome, Status: status}
 }
 
-// read is a read from at for 100 ms.
+// read returns a read that is called at the given time and returns after 100 ms.
 func read(name string, generation uint64, at time.Duration) history.Operation {
 	return history.Operation{Client: 1, Kind: history.Read, Order: name, Generation: generation, Call: at, Return: at + 100*time.Millisecond, Outcome: history.Acknowledged, Status: 200}
 }
 
-// wantOnly fails unless the history breaks exactly the check; empty: none.
+// wantOnly fails the test unless the given check, and no other, reports a violation. An empty check means that none may.
 func wantOnly(t *testing.T, h history.History, check string) {
 	t.Helper()
 	var broken []string
@@ -38,13 +38,13 @@
 		t.Log(violation)
 	}
 	if got := strings.Join(broken, ","); got != check {
-		t.Errorf("broken are %q, want %q", got, check)
+		t.Errorf("got violations of checks %q, want %q", got, check)
 	}
 }
 
-// operations is a history of operations alone, each of which every agent shows at once.
+// operations returns a history of the given operations in which every agent shows each acknowledged change immediately.
 func operations(all ...history.Operation) history.History {
-	h := base()
+	h := emptyHistory()
 	h.Operations = all
 	newest := uint64(0)
 	for _, operation := range all {
@@ -60,15 +60,15 @@
 
 func TestCheckLinearizable_linearizable(t *testing.T) {
 	for name, h := range map[string]history.History{
-		"one after the other":                     operations(order("a", 0, 1, 1*second, history.Acknowledged), read("a", 1, 2*second), order("b", 1, 3, 3*second, history.Acknowledged), read("b", 3, 4*second)),
-		"a loser is refused":                      operations(order("a", 0, 1, 1*second, history.Acknowledged), order("b", 1, 2, 2*second, history.Acknowledged), order("c", 1, 3, 2*second, history.Rejected)),
-		"without answer, taken later":             operations(order("a", 0, 1, 1*second, history.Acknowledged), order("b", 1, 2, 2*second, history.Unknown), read("a", 1, 3*second), read("b", 2, 9*second)),
-		"without answer, never taken":             operations(order("a", 0, 1, 1*second, history.Acknowledged), order("b", 1, 2, 2*second, history.Unknown), read("a", 1, 30*second)),
-		"without answer, refuses another":         operations(order("a", 0, 1, 1*second, history.Acknowledged), order("b", 1, 2, 2*second, history.Unknown), order("c", 1, 3, 5*second, history.Rejected)),
-		"without answer, the next builds on it":   operations(order("a", 0, 1, 1*second, history.Unknown), order("b", 1, 2, 3*second, history.Acknowledged)),
-		"acknowledged at the second attempt":      operations(order("a", 0, 1, 1*second, history.Unknown), order("a", 0, 1, 3*second, history.Acknowledged), read("a", 1, 4*second)),
-		"repeated after newer ones":               operations(order("a", 0, 1, 1*second, history.Acknowledged), order("b", 1, 2, 2*second, history.Acknowledged), order("a", 0, 1, 3*second, history.Acknowledged), read("b", 2, 4*second)),
-		"a read beside the order may show either": operations(order("a", 0, 1, 1*second, history.Acknowledged), read("", 0, 1*second), read("a", 1, 1*second)),
+		"sequential operations":                              operations(order("a", 0, 1, 1*second, history.Acknowledged), read("a", 1, 2*second), order("b", 1, 3, 3*second, history.Acknowledged), read("b", 3, 4*second)),
+		"the second order on a base is rejected":             operations(order("a", 0, 1, 1*second, history.Acknowledged), order("b", 1, 2, 2*second, history.Acknowledged), order("c", 1, 3, 2*second, history.Rejected)),
+		"unanswered order takes effect later":                operations(order("a", 0, 1, 1*second, history.Acknowledged), order("b", 1, 2, 2*second, history.Unknown), read("a", 1, 3*second), read("b", 2, 9*second)),
+		"unanswered order never takes effect":                operations(order("a", 0, 1, 1*second, history.Acknowledged), order("b", 1, 2, 2*second, history.Unknown), read("a", 1, 30*second)),
+		"unanswered order causes the rejection of another":   operations(order("a", 0, 1, 1*second, history.Acknowledged), order("b", 1, 2, 2*second, history.Unknown), order("c", 1, 3, 5*second, history.Rejected)),
+		"unanswered order is the base of the next":           operations(order("a", 0, 1, 1*second, history.Unknown), order("b", 1, 2, 3*second, history.Acknowledged)),
+		"acknowledged at the second attempt":                 operations(order("a", 0, 1, 1*second, history.Unknown), order("a", 0, 1, 3*second, history.Acknowledged), read("a", 1, 4*second)),
+		"order repeated after newer ones":                    operations(order("a", 0, 1, 1*second, history.Acknowledged), order("b", 1, 2, 2*second, history.Acknowledged), order("a", 0, 1, 3*second, history.Acknowledged), read("b", 2, 4*second)),
+		"read concurrent with an order returns either state": operations(order("a", 0, 1, 1*second, history.Acknowledged), read("", 0, 1*second), read("a", 1, 1*second)),
 	} {
 		t.Run(name, func(t *testing.T) { wantOnly(t, h, "") })
 	}
@@ -76,12 +76,12 @@
 
 func TestCheckLinearizable_notLinearizable(t *testing.T) {
 	for name, h := range map[string]history.History{
-		"a read of the old":              operations(order("a", 0, 1, 1*second, history.Acknowledged), order("b", 1, 2, 2*second, history.Acknowledged), read("a", 1, 3*second)),
-		"reads that go back":             operations(order("a", 0, 1, 1*second, history.Acknowledged), order("b", 1, 2, 2*second, history.Unknown), read("b", 2, 3*second), read("a", 1, 4*second)),
-		"a refusal without cause":        operations(order("a", 0, 1, 1*second, history.Acknowledged), order("b", 1, 2, 2*second, history.Rejected)),
-		"two winners":                    operations(order("a", 0, 1, 1*second, history.Acknowledged), order("b", 1, 2, 2*second, history.Acknowledged), order("c", 1, 3, 3*second, history.Acknowledged)),
-		"acknowledged, then gone":        operations(order("a", 0, 1, 1*second, history.Acknowledged), read("", 0, 9*second)),
-		"a refusal before the other one": operations(order("a", 0, 1, 1*second, history.Acknowledged), order("c", 1, 3, 2*second, history.Rejected), order("b", 1, 2, 5*second, history.Acknowledged)),
+		"stale read":                                    operations(order("a", 0, 1, 1*second, history.Acknowledged), order("b", 1, 2, 2*second, history.Acknowledged), read("a", 1, 3*second)),
+		"reads go back to an older generation":          operations(order("a", 0, 1, 1*second, history.Acknowledged), order("b", 1, 2, 2*second, history.Unknown), read("b", 2, 3*second), read("a", 1, 4*second)),
+		"rejection without a cause":                     operations(order("a", 0, 1, 1*second, history.Acknowledged), order("b", 1, 2, 2*second, history.Rejected)),
+		"two orders accepted on the same base":          operations(order("a", 0, 1, 1*second, history.Acknowledged), order("b", 1, 2, 2*second, history.Acknowledged), order("c", 1, 3, 3*second, history.Acknowledged)),
+		"acknowledged order is lost":                    operations(order("a", 0, 1, 1*second, history.Acknowledged), read("", 0, 9*second)),
+		"rejection before the competing order was sent": operations(order("a", 0, 1, 1*second, history.Acknowledged), order("c", 1, 3, 2*second, history.Rejected), order("b", 1, 2, 5*second, history.Acknowledged)),
 	} {
 		t.Run(name, func(t *testing.T) { wantOnly(t, h, history.CheckLinearizable) })
 	}
@@ -96,31 +96,31 @@
 	start := time.Now()
 	wantOnly(t, operations(all...), "")
 	if took := time.Since(start); took > 5*second {
-		t.Errorf("the search took %v", took)
+		t.Errorf("the search over 600 operations took %v, want at most %v", took, 5*second)
 	}
 }
 
 func name(word string, i uint64) string { return word + "-" + time.Duration(i).String() }
 
 func TestCheckOrders_acceptedAndRejected(t *testing.T) {
-	taken := order("a", 0, 1, 1*second, history.Acknowledged)
-	wantOnly(t, operations(taken, order("b", 0, 1, 2*second, history.Rejected)), "")
-	wantOnly(t, operations(taken, order("b", 1, 2, 3*second, history.Acknowledged), order("a", 0, 1, 5*second, history.Rejected)), history.CheckOrders)
+	accepted := order("a", 0, 1, 1*second, history.Acknowledged)
+	wantOnly(t, operations(accepted, order("b", 0, 1, 2*second, history.Rejected)), "")
+	wantOnly(t, operations(accepted, order("b", 1, 2, 3*second, history.Acknowledged), order("a", 0, 1, 5*second, history.Rejected)), history.CheckOrders)
 	wantOnly(t, operations(order("a", 0, 1, 1*second, history.Unknown), order("a", 0, 1, 2*second, history.Rejected), read("", 0, 2*second)), history.CheckLinearizable)
 
 	invalid := order("x", 0, 1, 1*second, history.Acknowledged)
 	invalid.Invalid = true
 	if h := operations(invalid); len(h.Check()) == 0 || h.Check()[0].Check != history.CheckOrders {
-		t.Errorf("an invalid order that was accepted is not reported: %v", h.Check())
+		t.Errorf("an invalid order was acknowledged: got violations %v, want %q first", h.Check(), history.CheckOrders)
 	}
-	shown := operations(taken, order("b", 1, 2, 2*second, history.Rejected))
+	shown := operations(accepted, order("b", 1, 2, 2*second, history.Rejected))
 	shown.Views = append(shown.Views, history.View{Agent: 0, At: 5 * second, Generation: 2, Order: "b"})
 	if found := shown.Check(); len(found) == 0 || found[0].Check != history.CheckOrders {
-		t.Errorf("a rejected order that an agent shows is not reported: %v", found)
+		t.Errorf("an agent shows a rejected order: got violations %v, want %q first", found, history.CheckOrders)
 	}
-	foreign := operations(taken)
-	foreign.Views = append(foreign.Views, history.View{Agent: 0, At: 5 * second, Generation: 7, Order: "nobody's"})
-	wantOnly(t, foreign, history.CheckOrders)
+	neverSent := operations(accepted)
+	neverSent.Views = append(neverSent.Views, history.View{Agent: 0, At: 5 * second, Generation: 7, Order: "nobody's"})
+	wantOnly(t, neverSent, history.CheckOrders)
 }
 
 func TestCheckOneBody(t *testing.T) {
@@ -128,12 +128,12 @@
 	wantOnly(t, h, "")
 	h.Views = append(h.Views, history.View{Agent: 1, At: 4 * second, Generation: 1, Order: "b"})
 	if found := h.Check(); len(found) == 0 || found[0].Check != history.CheckOneBody {
-		t.Errorf("two bodies under one generation are not reported: %v", found)
+		t.Errorf("an agent shows a second order under generation 1: got violations %v, want %q first", found, history.CheckOneBody)
 	}
 }
 
 func TestCheckFreshViews(t *testing.T) {
-	h := base()
+	h := emptyHistory()
 	h.Operations = []history.Operation{order("a", 0, 1, 1*second, history.Acknowledged), order("b", 1, 2, 20*second, history.Acknowledged)}
 	h.Views = []history.View{{Agent: 0, At: 2 * second, Generation: 1, Order: "a"}, {Agent: 1, At: 2 * second, Generation: 1, Order: "a"},
 		{Agent: 0, At: 22 * second, Generation: 2, Order: "b"}}
@@ -164,16 +164,16 @@
 }
 
 func TestCheckDepartures(t *testing.T) {
-	h := base()
-	ready := func(agent int, at time.Duration, state history.State) history.Presence {
+	h := emptyHistory()
+	presence := func(agent int, at time.Duration, state history.State) history.Presence {
 		return history.Presence{Agent: agent, At: at, Instance: "i-1", State: state}
 	}
-	h.Presences = []history.Presence{ready(0, 4*second, history.Ready), ready(1, 4*second, history.Ready), ready(0, 11*second, history.Draining), ready(1, 11*second, history.Absent)}
+	h.Presences = []history.Presence{presence(0, 4*second, history.Ready), presence(1, 4*second, history.Ready), presence(0, 11*second, history.Draining), presence(1, 11*second, history.Absent)}
 	h.Departures = []history.Departure{{Instance: "i-1", From: 10 * second, Acknowledged: 10 * second}}
 	wantOnly(t, h, "")
 
 	forgotten := h
-	forgotten.Presences = append(append([]history.Presence(nil), h.Presences...), ready(1, 30*second, history.Ready))
+	forgotten.Presences = append(append([]history.Presence(nil), h.Presences...), presence(1, 30*second, history.Ready))
 	wantOnly(t, forgotten, history.CheckDepartures)
 
 	late := h
@@ -184,12 +184,12 @@
 
 	again := h
 	again.Faults = []history.Fault{{What: "cut", From: 5 * second, To: 60 * second, Agents: []int{0, 1}}}
-	again.Presences = append(append([]history.Presence(nil), h.Presences...), ready(0, 30*second, history.Ready))
+	again.Presences = append(append([]history.Presence(nil), h.Presences...), presence(0, 30*second, history.Ready))
 	wantOnly(t, again, history.CheckDepartures)
 }
 
 func TestCheckRegistrations(t *testing.T) {
-	h := base()
+	h := emptyHistory()
 	h.Heartbeats = []history.Heartbeat{{Instance: "i-1", At: 10 * second}, {Instance: "i-1", At: 11 * second}}
 	wantOnly(t, h, history.CheckRegistration)
 
@@ -218,47 +218,47 @@
 	served.Operations = append(append([]history.Operation(nil), h.Operations...), read("a", 1, 25*second))
 	wantOnly(t, served, "")
 
-	struck := h
-	struck.Faults = append(struck.Faults, history.Fault{What: "freeze", From: 24 * second, To: 25 * second, Core: true}, history.Fault{What: "kill", From: 26 * second, To: 29 * second, Core: true})
-	wantOnly(t, struck, "")
+	disruptedAgain := h
+	disruptedAgain.Faults = append(disruptedAgain.Faults, history.Fault{What: "freeze", From: 24 * second, To: 25 * second, Core: true}, history.Fault{What: "kill", From: 26 * second, To: 29 * second, Core: true})
+	wantOnly(t, disruptedAgain, "")
 
-	silent := operations(order("a", 0, 1, 1*second, history.Acknowledged))
-	silent.Faults = h.Faults
-	wantOnly(t, silent, "")
+	withoutCalls := operations(order("a", 0, 1, 1*second, history.Acknowledged))
+	withoutCalls.Faults = h.Faults
+	wantOnly(t, withoutCalls, "")
 }
 
 func TestCheckMajority(t *testing.T) {
-	voter := func(id uint64, place int) history.Voter { return history.Voter{ID: id, Slot: place, Durable: 10} }
+	voter := func(id uint64, slot int) history.Voter { return history.Voter{ID: id, Slot: slot, Durable: 10} }
 	complete := []history.Voter{voter(1, 0), voter(2, 1), voter(3, 2)}
 	lost := history.Fault{What: "wipe", From: 20 * second, To: 21 * second, Lost: []int{2}, Until: 25 * second}
 	wiped := []history.Voter{voter(1, 0), voter(2, 1), {ID: 3, Slot: 2, Gone: true}}
 	repaired := []history.Voter{voter(1, 0), voter(2, 1), voter(4, 2)}
-	standing := func(at time.Duration, voters []history.Voter) history.GroupState {
+	state := func(at time.Duration, voters []history.Voter) history.GroupState {
 		return history.GroupState{At: at, Committed: 10, Voters: voters}
 	}
-	for name, one := range map[string]struct {
-		standings []history.GroupState
-		want      string
+	for name, test := range map[string]struct {
+		states []history.GroupState
+		want   string
 	}{
-		"complete":                           {[]history.GroupState{standing(0, complete)}, ""},
-		"repaired in time":                   {[]history.GroupState{standing(0, complete), standing(20*second, wiped), standing(22*second, wiped[:2]), standing(23*second, repaired)}, ""},
-		"not repaired":                       {[]history.GroupState{standing(0, complete), standing(20*second, wiped)}, history.CheckMajority},
-		"removed, none in its place":         {[]history.GroupState{standing(0, complete), standing(20*second, wiped), standing(22*second, wiped[:2])}, history.CheckMajority},
-		"a voter is removed without a fault": {[]history.GroupState{standing(0, complete), standing(40*second, complete[:2])}, history.CheckMajority},
-		"removed the healthy one":            {[]history.GroupState{standing(0, complete), standing(20*second, wiped), standing(21*second, wiped[1:])}, history.CheckMajority},
-		"promoted before it holds a log":     {[]history.GroupState{standing(0, []history.Voter{voter(1, 0), {ID: 2, Slot: 1, Durable: 9}, {ID: 3, Slot: 2, Durable: 9}})}, history.CheckMajority},
+		"all voters present":                             {[]history.GroupState{state(0, complete)}, ""},
+		"lost voter replaced in time":                    {[]history.GroupState{state(0, complete), state(20*second, wiped), state(22*second, wiped[:2]), state(23*second, repaired)}, ""},
+		"lost voter not replaced":                        {[]history.GroupState{state(0, complete), state(20*second, wiped)}, history.CheckMajority},
+		"lost voter removed without a replacement":       {[]history.GroupState{state(0, complete), state(20*second, wiped), state(22*second, wiped[:2])}, history.CheckMajority},
+		"voter removed without a fault":                  {[]history.GroupState{state(0, complete), state(40*second, complete[:2])}, history.CheckMajority},
+		"healthy voter removed instead of the lost one":  {[]history.GroupState{state(0, complete), state(20*second, wiped), state(21*second, wiped[1:])}, history.CheckMajority},
+		"voters promoted before their logs are complete": {[]history.GroupState{state(0, []history.Voter{voter(1, 0), {ID: 2, Slot: 1, Durable: 9}, {ID: 3, Slot: 2, Durable: 9}})}, history.CheckMajority},
 	} {
 		t.Run(name, func(t *testing.T) {
-			h := base()
+			h := emptyHistory()
 			h.Faults = []history.Fault{lost}
-			h.GroupStates = one.standings
-			wantOnly(t, h, one.want)
+			h.GroupStates = test.states
+			wantOnly(t, h, test.want)
 		})
 	}
-	t.Run("everything is down", func(t *testing.T) {
-		h := base()
+	t.Run("all servers lose power", func(t *testing.T) {
+		h := emptyHistory()
 		h.Faults = []history.Fault{{What: "power-all", From: 20 * second, To: 21 * second, Lost: []int{0, 1, 2}, Until: 25 * second}}
-		h.GroupStates = []history.GroupState{standing(0, complete), standing(20*second, wiped), standing(24*second, repaired)}
+		h.GroupStates = []history.GroupState{state(0, complete), state(20*second, wiped), state(24*second, repaired)}
 		wantOnly(t, h, "")
 	})
 }
--- a/internal/testkit/controlplanesim/history/isolated.go
+++ b/internal/testkit/controlplanesim/history/isolated.go
@@ -6,26 +6,26 @@
 	"time"
 )
 
-// checkIsolated finds answers of servers that were partitioned off from the others, fewer than a majority, for longer than they
-// may know that they are current: no change, read or heartbeat may be acknowledged there.
+// checkIsolated finds acknowledgements by servers that were partitioned from the majority for longer than their lease. Such
+// servers must not acknowledge any change, read or heartbeat.
 func checkIsolated(history History) []Violation {
 	var found []Violation
 	for _, operation := range history.Operations {
 		if operation.Outcome == Acknowledged && history.isolated(operation.Machine, operation.Call, operation.Return) {
-			found = append(found, Violation{Check: CheckIsolated, At: operation.Return, Text: operation.String()})
+			found = append(found, Violation{Check: CheckIsolated, At: operation.Return, Text: "isolated server acknowledged " + operation.String()})
 		}
 	}
 	for _, heartbeat := range history.Heartbeats {
 		if history.isolated(heartbeat.Machine, heartbeat.Call, heartbeat.At) {
 			found = append(found, Violation{Check: CheckIsolated, At: heartbeat.At,
-				Text: fmt.Sprintf("server %s acknowledged a heartbeat of %s", heartbeat.Machine, heartbeat.Instance)})
+				Text: fmt.Sprintf("isolated server %s acknowledged a heartbeat of %s", heartbeat.Machine, heartbeat.Instance)})
 		}
 	}
 	return found
 }
 
-// isolated reports whether a machine was isolated from a time until another, and for longer than its lease by then. An answer whose
-// goroutine stalls after the check of the lease leaves as much later.
+// isolated reports whether the machine was isolated between from and to, and its lease had already expired at from. A goroutine
+// that stalls between checking the lease and sending the answer extends the lease by the time of the stall.
 func (h History) isolated(machine string, from, to time.Duration) bool {
 	return slices.ContainsFunc(h.Faults, func(fault Fault) bool {
 		lease := fault.Lease + h.stallAt(machine, from)
@@ -33,18 +33,19 @@
 	})
 }
 
-// partitioned reports whether a machine is partitioned off from the other servers at a time.
+// partitioned reports whether the machine is partitioned from the other servers at the given time.
 func (h History) partitioned(machine string, at time.Duration) bool {
 	return slices.ContainsFunc(h.Faults, func(fault Fault) bool {
 		return slices.Contains(fault.Isolated, machine) && fault.From <= at && at < fault.To
 	})
 }
 
-// stallAt returns for how long goroutines of a machine may stall at a time, or have stalled until shortly before.
+// stallAt returns the longest delay that goroutine stalls on the machine may cause at the given time. A stall still counts
+// shortly after its fault has ended.
 func (h History) stallAt(machine string, at time.Duration) (longest time.Duration) {
 	for _, fault := range h.Faults {
 		if slices.Contains(fault.Stalled, machine) && fault.From <= at && at < fault.To+2*fault.MaxStall {
-			longest = max(longest, 2*fault.MaxStall) // of the loop that publishes the contact, and of the one that checks it
+			longest = max(longest, 2*fault.MaxStall) // one stall in the loop that publishes the contact and one in the loop that checks it
 		}
 	}
 	return longest
--- a/internal/testkit/controlplanesim/history/linearizable.go
+++ b/internal/testkit/controlplanesim/history/linearizable.go
@@ -8,53 +8,53 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// searchBudget bounds the search for one history.
+// searchBudget limits the linearizability search of one history.
 const searchBudget = 20 * time.Second
 
-// forever is the return of what may take effect at any later time.
-const forever = math.MaxInt64
+// noReturn is the return time of an operation that may take effect at any later time.
+const noReturn = math.MaxInt64
 
-// input is one step of the sequential model. Attempts of an order are put together: it takes effect once, after the
-// first attempt that may have been accepted and before the first proof.
+// input is one step of the sequential model. All attempts of an order form a single step: the order takes effect once, after
+// the start of the first attempt that may have been accepted and before the first evidence of acceptance.
 type input struct {
-	step       step
+	kind       stepKind
 	base       uint64
 	generation uint64
 	order      string
-	proven     bool // of an effect: it must take place
+	proven     bool // the order is known to have been accepted, so its effect is mandatory
 }
 
-// step is the kind of an input.
-type step uint8
+// stepKind is the type of a model step.
+type stepKind uint8
 
 const (
-	effectStep    step = iota // the order is accepted
-	readStep                  // a read
-	rejectionStep             // the order is rejected, since its base is not in force
-	finishStep                // after all that is proven: what is not in force by then never will be
+	effectStep    stepKind = iota // the order is accepted
+	readStep                      // a read returned the given order and generation
+	rejectionStep                 // the order is rejected because its base is not the current generation
+	finishStep                    // after all proven effects; orders without evidence that have not taken effect by then never do
 )
 
-// state is what the model holds.
+// state is the state of the model.
 type state struct {
 	generation uint64
 	order      string
 	finished   bool
 }
 
-// model is a register whose writes name the generation that they replace and a higher one.
+// model is a compare-and-set register: each write names the generation that it replaces and a higher one that it creates.
 var model = porcupine.Model{
 	Init: func() any { return state{} },
-	Step: func(before, given, _ any) (bool, any) { return before.(state).apply(given.(input)) },
+	Step: func(current, given, _ any) (bool, any) { return current.(state).apply(given.(input)) },
 	DescribeOperation: func(given, _ any) string {
 		i := given.(input)
-		return fmt.Sprintf("%d %q %d on %d", i.step, i.order, i.generation, i.base)
+		return fmt.Sprintf("%d %q %d on %d", i.kind, i.order, i.generation, i.base)
 	},
 }
 
-// apply returns whether a step is possible, and the state after it.
+// apply returns whether the step is legal in state s, and the state after it.
 func (s state) apply(given input) (bool, state) {
 	applies := given.base == s.generation && given.generation > s.generation
-	switch given.step {
+	switch given.kind {
 	case readStep:
 		return s.generation == given.generation && s.order == given.order, s
 	case rejectionStep:
@@ -69,7 +69,8 @@
 	return applies && !s.finished, state{generation: given.generation, order: given.order}
 }
 
-// checkLinearizable searches an order in time of all effects, rejections and reads. A search that does not end in time is a violation too.
+// checkLinearizable searches for a linearization of all effects, rejections and reads. A search that exceeds searchBudget is
+// also reported as a violation.
 func checkLinearizable(h History) []Violation {
 	operations := h.modelOperations()
 	result, info := porcupine.CheckOperationsVerbose(model, operations, searchBudget)
@@ -77,77 +78,79 @@
 	case porcupine.Ok:
 		return nil
 	case porcupine.Unknown:
-		return []Violation{{Check: CheckLinearizable, At: h.End, Text: fmt.Sprintf("the search among %d operations did not end in %v", len(operations), searchBudget)}}
+		return []Violation{{Check: CheckLinearizable, At: h.End, Text: fmt.Sprintf("linearizability search over %d operations did not finish within %v", len(operations), searchBudget)}}
 	}
-	return []Violation{{Check: CheckLinearizable, At: h.End, Text: explain(operations, info)}}
+	return []Violation{{Check: CheckLinearizable, At: h.End, Text: describeFailure(operations, info)}}
 }
 
-// modelOperations returns the model's operations: reads and rejections as they were called, the effects of orders, and the end.
+// modelOperations returns the input of the search: reads and rejections with their call times, effects of orders, and the final
+// step.
 func (h History) modelOperations() []porcupine.Operation {
 	var all []porcupine.Operation
 	for _, operation := range h.Operations {
 		switch {
 		case operation.Kind == Read && operation.Outcome == Acknowledged:
-			all = append(all, asOperation(operation, readStep))
+			all = append(all, newModelOperation(operation, readStep))
 		case operation.Kind != Read && operation.Outcome == Rejected && !operation.Invalid:
-			all = append(all, asOperation(operation, rejectionStep))
+			all = append(all, newModelOperation(operation, rejectionStep))
 		}
 	}
 	all = append(all, h.effects()...)
 	last := int64(h.End)
 	for _, operation := range all {
-		if operation.Return != forever {
+		if operation.Return != noReturn {
 			last = max(last, operation.Return)
 		}
 	}
-	return append(all, porcupine.Operation{Input: input{step: finishStep}, Call: last + 1, Return: last + 2})
+	return append(all, porcupine.Operation{Input: input{kind: finishStep}, Call: last + 1, Return: last + 2})
 }
 
-// effects returns those of the orders that were accepted or may have been: one for each order, from its first attempt that was
-// not rejected until its first proof.
+// effects returns one model operation per order that was or may have been accepted. It lasts from the order's first attempt that
+// was not rejected until the earliest evidence that the order was accepted.
 func (h History) effects() []porcupine.Operation {
-	proofs := h.accepted()
-	needed := h.needed(proofs)
-	refused := h.rejected()
-	at := map[string]int{}
+	proofs := h.acceptedOrders()
+	bases := h.neededBases(proofs)
+	rejected := h.rejectedOrders()
+	indexes := map[string]int{}
 	var effects []porcupine.Operation
 	for _, operation := range h.Operations {
 		if operation.Kind == Read || operation.Outcome == Rejected || operation.Invalid {
 			continue
 		}
-		if i, known := at[operation.Order]; known {
+		if i, known := indexes[operation.Order]; known {
 			effects[i].Call = min(effects[i].Call, int64(operation.Call))
 			continue
 		}
 		proof, proven := proofs[operation.Order]
-		if !proven && (refused[operation.Order] || !needed[operation.Base]) {
+		if !proven && (rejected[operation.Order] || !bases[operation.Base]) {
 			continue
 		}
-		made := porcupine.Operation{ClientId: operation.Client, Call: int64(operation.Call), Return: forever,
-			Input: input{step: effectStep, base: operation.Base, generation: operation.Generation, order: operation.Order, proven: proven}}
+		effect := porcupine.Operation{ClientId: operation.Client, Call: int64(operation.Call), Return: noReturn,
+			Input: input{kind: effectStep, base: operation.Base, generation: operation.Generation, order: operation.Order, proven: proven}}
 		if proven {
-			made.Return = max(int64(proof.at), made.Call)
+			effect.Return = max(int64(proof.at), effect.Call)
 		}
-		at[operation.Order] = len(effects)
-		effects = append(effects, made)
+		indexes[operation.Order] = len(effects)
+		effects = append(effects, effect)
 	}
 	return effects
 }
 
-// rejected returns the orders of which an attempt was rejected: none of their attempts may take effect.
-func (h History) rejected() map[string]bool {
-	refused := map[string]bool{}
+// rejectedOrders returns the orders with a rejected attempt. No attempt of such an order may take effect.
+func (h History) rejectedOrders() map[string]bool {
+	rejected := map[string]bool{}
 	for _, operation := range h.Operations {
 		if operation.Outcome == Rejected {
-			refused[operation.Order] = true
+			rejected[operation.Order] = true
 		}
 	}
-	return refused
+	return rejected
 }
 
-// needed returns the generations upon which an order without proof may explain something: a rejection of another order upon
-// the same one, or the base of an order that was accepted.
-func (h History) needed(proofs map[string]proof) map[uint64]bool {
+// neededBases returns the base generations for which the search must consider orders without evidence of acceptance: such an
+// order may explain the rejection of another order with the same base, or may have created the base of an accepted order.
+// Leaving out all other orders keeps the search small.
+func (h History) neededBases(proofs map[string]proof) map[uint64]bool {
 	needed := map[uint64]bool{}
 	bases := map[uint64]bool{}
 	for _, operation := range h.Operations {
@@ -173,18 +176,18 @@
 	return needed
 }
 
-// asOperation is a step from the operation's call to its return.
-func asOperation(o Operation, kind step) porcupine.Operation {
+// newModelOperation returns a model step that spans the operation's call and return.
+func newModelOperation(o Operation, kind stepKind) porcupine.Operation {
 	return porcupine.Operation{
 		ClientId: o.Client,
-		Input:    input{step: kind, base: o.Base, generation: o.Generation, order: o.Order},
+		Input:    input{kind: kind, base: o.Base, generation: o.Generation, order: o.Order},
 		Call:     int64(o.Call),
 		Return:   max(int64(o.Return), int64(o.Call)),
 	}
 }
 
-// explain names the operation at which the longest partial linearization ends.
-func explain(operations []porcupine.Operation, info porcupine.LinearizationInfo) string {
+// describeFailure names the first operation that does not fit into the longest partial linearization.
+func describeFailure(operations []porcupine.Operation, info porcupine.LinearizationInfo) string {
 	var longest []int
 	for _, partition := range info.PartialLinearizations() {
 		for _, candidate := range partition {
@@ -204,8 +207,8 @@
 		}
 	}
 	if first < 0 {
-		return "no order of the operations explains the answers"
+		return "no linearization of the operations explains the answers"
 	}
-	return fmt.Sprintf("%d of %d operations have an order, then %s from %v to %v does not fit", len(longest), len(operations),
+	return fmt.Sprintf("longest partial linearization has %d of %d operations; %s, called at %v and returned at %v, does not fit", len(longest), len(operations),
 		model.DescribeOperation(operations[first].Input, nil), time.Duration(operations[first].Call), time.Duration(operations[first].Return))
 }
--- a/internal/testkit/controlplanesim/history/majority.go
+++ b/internal/testkit/controlplanesim/history/majority.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// checkMajority finds instants at which one more loss within the tolerance would leave a group without a majority of
-// its voters, or without any voter that holds what was acknowledged.
+// checkMajority finds times at which further machine losses within the tolerance would leave a group without a majority of its
+// voters, or without any voter that holds all acknowledged entries.
 func checkMajority(history History) []Violation {
 	var found []Violation
-	for group, standings := range history.byGroup() {
-		for i, standing := range standings {
+	for group, states := range history.statesByGroup() {
+		for i, state := range states {
 			until := history.End
-			if i+1 < len(standings) {
-				until = standings[i+1].At
+			if i+1 < len(states) {
+				until = states[i+1].At
 			}
-			for _, at := range history.lossChanges(standing.At, until) {
-				if text := history.weakness(standing, at); text != "" {
+			for _, at := range history.lossEndTimes(state.At, until) {
+				if text := history.quorumRisk(state, at); text != "" {
 					found = append(found, Violation{Check: CheckMajority, At: at, Text: fmt.Sprintf("group %d: %s", group, text)})
 				}
 			}
@@ -28,60 +28,63 @@
 	return found
 }
 
-func (h History) byGroup() map[int][]GroupState {
+// statesByGroup returns the states of each group, oldest first.
+func (h History) statesByGroup() map[int][]GroupState {
 	groups := map[int][]GroupState{}
-	for _, standing := range h.GroupStates {
-		groups[standing.Group] = append(groups[standing.Group], standing)
+	for _, state := range h.GroupStates {
+		groups[state.Group] = append(groups[state.Group], state)
 	}
 	return groups
 }
 
-// lossChanges returns the first instant and those up to the second at which a slot stops to count as lost.
-func (h History) lossChanges(from, until time.Duration) []time.Duration {
-	instants := []time.Duration{from}
+// lossEndTimes returns from and all times before until at which a lost slot stops counting as lost. The margin is smallest at
+// these times, since fewer losses mean that more further losses must be survived.
+func (h History) lossEndTimes(from, until time.Duration) []time.Duration {
+	times := []time.Duration{from}
 	for _, fault := range h.Faults {
 		if len(fault.Lost) > 0 && from < fault.Until && fault.Until < until {
-			instants = append(instants, fault.Until)
+			times = append(times, fault.Until)
 		}
 	}
-	return instants
+	return times
 }
 
-// lostAt returns the slots that count as lost at the instant.
+// lostAt returns the slots that count as lost at the given time.
 func (h History) lostAt(at time.Duration) map[int]bool {
 	lost := map[int]bool{}
 	for _, fault := range h.Faults {
 		if fault.From <= at && at < fault.Until {
-			for _, place := range fault.Lost {
-				lost[place] = true
+			for _, slot := range fault.Lost {
+				lost[slot] = true
 			}
 		}
 	}
 	return lost
 }
 
-// weakness describes what a further loss within the tolerance would cost; it is empty if nothing is lost.
-func (h History) weakness(standing GroupState, at time.Duration) string {
+// quorumRisk describes how further losses within the tolerance would break the group. It returns an empty string if the group
+// would survive them.
+func (h History) quorumRisk(state GroupState, at time.Duration) string {
 	lost := h.lostAt(at)
 	further := min(h.Tolerance, (h.Wanted-1)/2) - len(lost)
 	if further < 0 {
-		return "" // more is lost than any membership can stand
+		return "" // more machines are lost than any membership can tolerate
 	}
 	remaining, holding := 0, 0
-	for _, voter := range standing.Voters {
+	for _, voter := range state.Voters {
 		if voter.Gone || lost[voter.Slot] {
 			continue
 		}
 		remaining++
-		if voter.Durable >= standing.Committed {
+		if voter.Durable >= state.Committed {
 			holding++
 		}
 	}
-	if remaining-further < len(standing.Voters)/2+1 {
-		return fmt.Sprintf("%d of %d voters stand with %d machines lost; %d further losses would leave no majority: %v", remaining, len(standing.Voters), len(lost), further, standing.Voters)
+	if remaining-further < len(state.Voters)/2+1 {
+		return fmt.Sprintf("%d of %d voters remain with %d machines lost; %d further losses would leave no majority: %v", remaining, len(state.Voters), len(lost), further, state.Voters)
 	}
 	if holding <= further {
-		return fmt.Sprintf("%d voters hold index %d durably with %d machines lost; %d further losses may leave none: %v", holding, standing.Committed, len(lost), further, standing.Voters)
+		return fmt.Sprintf("%d voters have index %d durable with %d machines lost; %d further losses may leave none: %v", holding, state.Committed, len(lost), further, state.Voters)
 	}
 	return ""
 }
--- a/internal/testkit/controlplanesim/history/recovery.go
+++ b/internal/testkit/controlplanesim/history/recovery.go
@@ -6,41 +6,42 @@
 	"time"
 )
 
-// checkServeAgain finds disruptions of the core after which nothing is answered within ServeAgain, though no other
-// disruption falls into that time and something was asked of a server that is not partitioned off.
+// checkServeAgain finds disruptions of the core after which no operation is acknowledged within Bounds.ServeAgain, although no
+// other disruption occurs in that time and at least one operation was sent to a server that is not partitioned.
 func checkServeAgain(history History) []Violation {
 	var found []Violation
 	for _, at := range history.disruptions() {
 		until := at + history.Bounds.ServeAgain
-		if until > history.End || !history.undisturbed(at, until) {
+		if until > history.End || !history.noDisruptionBetween(at, until) {
 			continue
 		}
-		asked, answered := false, false
+		called, answered := false, false
 		for _, operation := range history.Operations {
-			asked = asked || operation.Call >= at && operation.Call <= until-history.Bounds.Contact && !history.partitioned(operation.Machine, operation.Call)
+			called = called || operation.Call >= at && operation.Call <= until-history.Bounds.Contact && !history.partitioned(operation.Machine, operation.Call)
 			answered = answered || operation.Outcome == Acknowledged && operation.Call >= at && operation.Return <= until
 		}
-		if asked && !answered {
-			found = append(found, Violation{Check: CheckServeAgain, At: until, Text: fmt.Sprintf("nothing that was asked since the disruption at %v is answered", at)})
+		if called && !answered {
+			found = append(found, Violation{Check: CheckServeAgain, At: until, Text: fmt.Sprintf("no operation called since the disruption at %v was acknowledged", at)})
 		}
 	}
 	return found
 }
 
-// disruptions returns the instants at which something was done to the core, in order.
+// disruptions returns the sorted start and end times of all faults of the core.
 func (h History) disruptions() []time.Duration {
-	var instants []time.Duration
+	var times []time.Duration
 	for _, fault := range h.Faults {
 		if fault.Core {
-			instants = append(instants, fault.From, fault.To)
+			times = append(times, fault.From, fault.To)
 		}
 	}
-	slices.Sort(instants)
-	return slices.Compact(instants)
+	slices.Sort(times)
+	return slices.Compact(times)
 }
 
-// undisturbed reports whether nothing is done to the core after the first instant up to the second, and no fault lasts.
-func (h History) undisturbed(from, to time.Duration) bool {
+// noDisruptionBetween reports whether no fault of the core starts or ends after from and up to to, and no lasting fault is active
+// at from.
+func (h History) noDisruptionBetween(from, to time.Duration) bool {
 	for _, fault := range h.Faults {
 		if !fault.Core {
 			continue
--- a/internal/testkit/controlplanesim/history/types.go
+++ b/internal/testkit/controlplanesim/history/types.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// History is what one run showed. All times are since its start. Slices are in the order of their times.
+// History is the recorded behavior of one run. All times are relative to the start of the run, and each slice is sorted by time.
 type History struct {
 	Bounds        Bounds
-	Tolerance     int // machines that may be lost at once
-	Wanted        int // voters that each group should have, no more than there are machines
+	Tolerance     int // number of machines that may be lost at the same time
+	Wanted        int // target number of voters per group, at most the number of machines
 	Agents        int
 	End           time.Duration
 	Operations    []Operation
@@ -19,95 +19,93 @@
 	Presences     []Presence
 	Faults        []Fault
 	GroupStates   []GroupState
-	PresenceUntil time.Duration // until which Presences are complete; 0: End
+	PresenceUntil time.Duration // time up to which Presences are complete; 0 means End
 }
 
-// Bounds are the times that the control plane guarantees.
+// Bounds are the time limits that the control plane guarantees.
 type Bounds struct {
-	Contact      time.Duration // contactMs
-	ConfigApply  time.Duration // configApplyMs
-	Drain        time.Duration // drainMs
-	Registration time.Duration // from a registration's acknowledgement until every agent in contact shows it
-	ServeAgain   time.Duration // from a disruption until an order or a read is answered
+	Contact      time.Duration // setting contactMs
+	ConfigApply  time.Duration // setting configApplyMs
+	Drain        time.Duration // setting drainMs
+	Registration time.Duration // from the acknowledgement of a registration until every agent in contact shows the worker
+	ServeAgain   time.Duration // from a disruption until the first order or read is answered
 }
 
-// Kind is what an operation asks for.
+// Kind is the type of an operation.
 type Kind string
 
-// Kinds of operations.
 const (
 	Replace Kind = "replace"
 	Update  Kind = "update"
 	Read    Kind = "read"
 )
 
-// Outcome is how an operation ended.
+// Outcome is the result of an operation as the caller saw it.
 type Outcome string
 
-// Outcomes.
 const (
 	Acknowledged Outcome = "acknowledged" // 200
-	Rejected     Outcome = "refused"      // a 4xx that ends the operator's call
-	Unknown      Outcome = "unknown"      // anything else: it may take effect later, once or never
+	Rejected     Outcome = "refused"      // a 4xx status that ends the operator's call
+	Unknown      Outcome = "unknown"      // any other result: the order may take effect later, at most once
 )
 
-// Operation is one call of an operator: an attempt of an order, or a read.
+// Operation is one call by an operator: one attempt to send an order, or a read. An order is a configuration change, which may
+// be sent in several attempts.
 type Operation struct {
 	Client     int
-	Server     int    // slot of the one that was asked
-	Machine    string // that was in the slot then
+	Server     int    // slot of the server that was called
+	Machine    string // machine in that slot at the time of the call
 	Call       time.Duration
-	Return     time.Duration // without meaning where the outcome is Unknown
+	Return     time.Duration // not meaningful if Outcome is Unknown
 	Kind       Kind
-	Base       uint64
-	Generation uint64 // that the order makes, or that was read
-	Order      string // names kind, base and body: two attempts have one name only if all three are equal; of a read: the order that made what was read
-	Invalid    bool   // the order's content is invalid whatever is in force
+	Base       uint64 // generation that the order builds on
+	Generation uint64 // generation that the order creates, or that was read
+	Order      string // identifies kind, base and body: two attempts have the same name only if all three are equal; for a read, the order that created the generation that was read
+	Invalid    bool   // the content of the order is invalid regardless of the current configuration
 	Outcome    Outcome
 	Status     int
 }
 
-// String describes the operation for a violation's text.
+// String describes the operation for the text of a violation.
 func (o Operation) String() string {
 	return fmt.Sprintf("%s %q %d on %d by client %d at server %d from %v to %v: %s (%d)", o.Kind, o.Order, o.Generation, o.Base, o.Client, o.Server, o.Call, o.Return, o.Outcome, o.Status)
 }
 
-// View is the configuration that an agent's proxy took.
+// View is a configuration that the proxy of an agent applied.
 type View struct {
 	Agent       int
-	Incarnation int // counts the agent's starts
+	Incarnation int // counts the starts of the agent
 	At          time.Duration
 	Generation  uint64
 	Order       string
 }
 
-// Heartbeat is an acknowledged heartbeat of a worker.
+// Heartbeat is an acknowledged heartbeat from a worker.
 type Heartbeat struct {
 	Instance string
-	Call     time.Duration // when the call that was acknowledged was made
-	At       time.Duration // of the acknowledgement
-	Machine  string        // that acknowledged it
+	Call     time.Duration // time at which the acknowledged call was made
+	At       time.Duration // time of the acknowledgement
+	Machine  string        // machine that acknowledged it
 	Draining bool
 }
 
-// Departure is a worker's end.
+// Departure is the end of a worker, announced or by a crash.
 type Departure struct {
 	Instance     string
-	From         time.Duration // of the first call that says so, or of the crash: from then on it need not be shown
-	Acknowledged time.Duration // 0: never
+	From         time.Duration // time of the first call that announces it, or of the crash; views may omit the worker from then on
+	Acknowledged time.Duration // 0 if never
 }
 
-// State is how a view shows a worker.
+// State is the state of a worker in a view.
 type State string
 
-// States of a worker.
 const (
 	Absent   State = "absent"
 	Ready    State = "ready"
 	Draining State = "draining"
 )
 
-// Presence is a change of what an agent's view shows of a worker.
+// Presence is a change in the state of a worker in an agent's view.
 type Presence struct {
 	Agent       int
 	Incarnation int
@@ -116,41 +114,41 @@
 	State       State
 }
 
-// Fault is something that was done to the core or to agents.
+// Fault is a fault injected into the core (the control plane servers) or into agents.
 type Fault struct {
 	What    string
 	From    time.Duration
 	To      time.Duration
-	Core    bool  // the core is unstable for Contact after From and after To
-	Lasting bool  // the core is unstable all the time between them, too
-	Agents  []int // out of contact from From until Contact after To
-	Lost    []int // slots of the core that count as lost from From until Until
+	Core    bool  // the core is unstable for Bounds.Contact after From and after To
+	Lasting bool  // the core is also unstable between From and To
+	Agents  []int // agents out of contact from From until Bounds.Contact after To
+	Lost    []int // slots of the core that count as lost between From and Until
 	Until   time.Duration
 
-	Isolated []string      // machines that exchange no messages with the other servers from From until To
-	Lease    time.Duration // after From, for which those may still know that they are current
+	Isolated []string      // machines partitioned from the other servers between From and To
+	Lease    time.Duration // time after From for which the isolated machines may still know that they are current
 
-	Stalled  []string      // machines whose goroutines stall between reading the clock and acting on it
-	MaxStall time.Duration // of one of those
+	Stalled  []string      // machines whose goroutines pause between reading the clock and acting on it
+	MaxStall time.Duration // longest single pause
 }
 
-// GroupState is a group's membership at a time, with what is durable at its voters. It is valid until the next one.
+// GroupState is the membership of a group and the durable log index of each voter. It holds until the next GroupState of the group.
 type GroupState struct {
 	At        time.Duration
 	Group     int
-	Committed uint64 // highest index whose effect was reported to anybody
+	Committed uint64 // highest log index whose effect was reported to any caller
 	Voters    []Voter
 }
 
-// Voter is a voting member.
+// Voter is a voting member of a group.
 type Voter struct {
 	ID      uint64
 	Slot    int
-	Gone    bool   // its disk is lost, or its machine is replaced
-	Durable uint64 // highest index that is durable at it
+	Gone    bool   // its disk was lost or its machine was replaced
+	Durable uint64 // highest log index that is durable on its disk
 }
 
-// String describes where the voter is and what it has durably.
+// String returns the voter's ID, slot and highest durable index.
 func (v Voter) String() string {
 	gone := ""
 	if v.Gone {
@@ -159,31 +157,31 @@
 	return fmt.Sprintf("%x at slot %d, durable to %d%s", v.ID, v.Slot, v.Durable, gone)
 }
 
-// Violation is a guarantee that was broken.
+// Violation is a violated guarantee.
 type Violation struct {
 	Check string
 	At    time.Duration
 	Text  string
 }
 
-// String is the violation in one line.
+// String returns the violation on one line.
 func (v Violation) String() string { return fmt.Sprintf("%s at %v: %s", v.Check, v.At, v.Text) }
 
 // Names of the checks.
 const (
-	CheckOrders       = "orders"        // each order is accepted or rejected, not both; no invalid one is accepted
-	CheckOneBody      = "one-body"      // a generation has one body
-	CheckLinearizable = "linearizable"  // orders and reads have an order in time that explains all answers
-	CheckFreshViews   = "fresh-views"   // an agent in contact shows what was acknowledged ConfigApply ago
-	CheckForwardViews = "forward-views" // no view goes back within an incarnation
-	CheckDepartures   = "departures"    // no acknowledged drain or departure is forgotten
-	CheckRegistration = "registrations" // an agent in contact shows every acknowledged worker
-	CheckServeAgain   = "serve-again"   // an answer within ServeAgain after each disruption
-	CheckMajority     = "majority"      // a majority survives each further loss within the tolerance
-	CheckIsolated     = "isolated"      // servers without a majority acknowledge nothing
+	CheckOrders       = "orders"        // no order is both accepted and rejected; no invalid order is accepted
+	CheckOneBody      = "one-body"      // each generation has exactly one content
+	CheckLinearizable = "linearizable"  // some sequential execution of orders and reads explains all answers
+	CheckFreshViews   = "fresh-views"   // an agent in contact shows every change within ConfigApply of its acknowledgement
+	CheckForwardViews = "forward-views" // an agent's generation never decreases within an incarnation
+	CheckDepartures   = "departures"    // no acknowledged drain or departure is lost
+	CheckRegistration = "registrations" // an agent in contact shows every worker whose heartbeat was acknowledged
+	CheckServeAgain   = "serve-again"   // some operation is answered within ServeAgain of each disruption
+	CheckMajority     = "majority"      // a majority survives any further loss within the tolerance
+	CheckIsolated     = "isolated"      // servers isolated from a majority acknowledge nothing
 )
 
-// Check runs every check and returns what each found first.
+// Check runs every check and returns the first violation that each one found.
 func (h History) Check() []Violation {
 	checks := []func(History) []Violation{checkOrders, checkOneBody, checkLinearizable, checkFreshViews, checkForwardViews, checkDepartures,
 		checkRegistrations, checkServeAgain, checkMajority, checkIsolated}
--- a/internal/testkit/controlplanesim/history/viewdelay.go
+++ b/internal/testkit/controlplanesim/history/viewdelay.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// ViewDelay is how long after the acknowledgement of a change an agent's view showed it, or a later one.
+// ViewDelay is the time from the acknowledgement of a change until an agent's view showed it or a later one.
 type ViewDelay struct {
-	Delay     time.Duration // 0: the view showed it before
-	InContact bool          // the agent was in contact all the while
+	Delay     time.Duration // 0 if the view showed it before the acknowledgement
+	InContact bool          // the agent was in contact for the whole delay
 }
 
-// ViewDelays returns the delay of each acknowledged change at each agent. A change that an agent has not shown by the end is left
-// out, as the run may have ended just then.
+// ViewDelays returns the delay of each acknowledged change at each agent. It omits changes that an agent had not shown by the end
+// of the run, because the run may have ended shortly after the acknowledgement.
 func (h History) ViewDelays() []ViewDelay {
 	var delays []ViewDelay
 	for agent := range h.Agents {
@@ -29,7 +29,7 @@
 	return delays
 }
 
-// shownAt returns when an agent first showed a generation or a later one.
+// shownAt returns the time at which the agent first showed the generation or a later one.
 func (h History) shownAt(agent int, generation uint64) (time.Duration, bool) {
 	for _, view := range h.Views {
 		if view.Agent == agent && view.Generation >= generation {
--- a/internal/testkit/controlplanesim/history/viewdelay_test.go
+++ b/internal/testkit/controlplanesim/history/viewdelay_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestHistory_ViewDelays(t *testing.T) {
-	seen := History{
+	recorded := History{
 		Agents: 2, End: time.Minute,
 		Bounds: Bounds{Contact: 3 * time.Second},
 		Faults: []Fault{{From: 20 * time.Second, To: 30 * time.Second, Agents: []int{1}}},
@@ -27,7 +27,7 @@
 		{Delay: 0, InContact: true}, {Delay: 300 * time.Millisecond, InContact: true},
 		{Delay: 200 * time.Millisecond, InContact: true}, {Delay: 6 * time.Second, InContact: false},
 	}
-	if got := seen.ViewDelays(); !reflect.DeepEqual(got, want) {
-		t.Errorf("%v, want %v", got, want)
+	if got := recorded.ViewDelays(); !reflect.DeepEqual(got, want) {
+		t.Errorf("ViewDelays() = %v, want %v", got, want)
 	}
 }
--- a/internal/testkit/controlplanesim/history/views.go
+++ b/internal/testkit/controlplanesim/history/views.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// byAgent sorts the views by agent, each in the order of time.
-func (h History) byAgent() [][]View {
+// viewsByAgent returns the views of each agent, sorted by time.
+func (h History) viewsByAgent() [][]View {
 	views := make([][]View, h.Agents)
 	for _, view := range h.Views {
 		views[view.Agent] = append(views[view.Agent], view)
@@ -15,7 +15,7 @@
 	return views
 }
 
-// viewAt returns the agent's view at the time. There is none before the first one.
+// viewAt returns the view in effect at the given time. It returns false before the first view.
 func viewAt(views []View, at time.Duration) (View, bool) {
 	after := sort.Search(len(views), func(i int) bool { return views[i].At > at })
 	if after == 0 {
@@ -24,10 +24,10 @@
 	return views[after-1], true
 }
 
-// checkFreshViews finds agents in contact whose view is older than what was acknowledged ConfigApply ago.
+// checkFreshViews finds agents in contact whose view lacks a change that was acknowledged at least Bounds.ConfigApply before.
 func checkFreshViews(history History) []Violation {
 	var found []Violation
-	for agent, views := range history.byAgent() {
+	for agent, views := range history.viewsByAgent() {
 		spans := history.InContact(agent)
 		for _, order := range history.Operations {
 			if order.Kind == Read || order.Outcome != Acknowledged {
@@ -40,7 +40,7 @@
 				}
 				if shown, _ := viewAt(views, at); shown.Generation < order.Generation {
 					found = append(found, Violation{Check: CheckFreshViews, At: at,
-						Text: fmt.Sprintf("agent %d shows generation %d; in contact since %v; %v", agent, shown.Generation, span.From, order)})
+						Text: fmt.Sprintf("agent %d shows generation %d although in contact since %v; acknowledged: %v", agent, shown.Generation, span.From, order)})
 				}
 			}
 		}
@@ -48,15 +48,15 @@
 	return found
 }
 
-// checkForwardViews finds views that go back within an incarnation.
+// checkForwardViews finds agents whose generation decreases within an incarnation.
 func checkForwardViews(h History) []Violation {
 	var found []Violation
-	for agent, views := range h.byAgent() {
+	for agent, views := range h.viewsByAgent() {
 		for i := 1; i < len(views); i++ {
 			before, after := views[i-1], views[i]
 			if before.Incarnation == after.Incarnation && after.Generation < before.Generation {
 				found = append(found, Violation{Check: CheckForwardViews, At: after.At,
-					Text: fmt.Sprintf("agent %d went from generation %d (%v) back to %d in its incarnation %d", agent, before.Generation, before.At, after.Generation, after.Incarnation)})
+					Text: fmt.Sprintf("agent %d went back from generation %d (shown at %v) to %d in incarnation %d", agent, before.Generation, before.At, after.Generation, after.Incarnation)})
 			}
 		}
 	}
--- a/internal/testkit/controlplanesim/history/workers.go
+++ b/internal/testkit/controlplanesim/history/workers.go
@@ -6,25 +6,25 @@
 	"time"
 )
 
-// presenceLog is what one agent's views show of each worker over time.
+// presenceLog maps each worker to the changes of its state in one agent's view, sorted by time.
 type presenceLog map[string][]Presence
 
-// presencesByAgent sorts the presences by agent and worker.
+// presencesByAgent returns the presence log of each agent.
 func (h History) presencesByAgent() []presenceLog {
 	all := make([]presenceLog, h.Agents)
 	for agent := range all {
 		all[agent] = presenceLog{}
 	}
 	for _, presence := range h.Presences {
-		one := all[presence.Agent]
-		one[presence.Instance] = append(one[presence.Instance], presence)
+		log := all[presence.Agent]
+		log[presence.Instance] = append(log[presence.Instance], presence)
 	}
 	return all
 }
 
-// stateAt returns how the worker is shown at the time.
-func (s presenceLog) stateAt(instance string, at time.Duration) State {
-	changes := s[instance]
+// stateAt returns the state of the worker at the given time.
+func (p presenceLog) stateAt(instance string, at time.Duration) State {
+	changes := p[instance]
 	after := sort.Search(len(changes), func(i int) bool { return changes[i].At > at })
 	if after == 0 {
 		return Absent
@@ -32,8 +32,8 @@
 	return changes[after-1].State
 }
 
-// checkDepartures finds workers that are shown as ready though their drain or departure was acknowledged Drain ago and
-// the agent is in contact, and those that become ready again within an incarnation after they were draining.
+// checkDepartures finds workers that an agent in contact shows as ready although their drain or departure was acknowledged at
+// least Bounds.Drain before. It also finds workers that become ready again after draining within one incarnation of the agent.
 func checkDepartures(history History) []Violation {
 	var found []Violation
 	for agent, presences := range history.presencesByAgent() {
@@ -42,27 +42,27 @@
 			if departure.Acknowledged == 0 {
 				continue
 			}
-			if at, forgotten := presences.readyAfter(departure.Instance, spans, departure.Acknowledged+history.Bounds.Drain); forgotten {
+			if at, ready := presences.firstReady(departure.Instance, spans, departure.Acknowledged+history.Bounds.Drain); ready {
 				found = append(found, Violation{Check: CheckDepartures, At: at,
-					Text: fmt.Sprintf("agent %d shows %s as ready; its departure was acknowledged at %v", agent, departure.Instance, departure.Acknowledged)})
+					Text: fmt.Sprintf("agent %d shows worker %s as ready; its departure was acknowledged at %v", agent, departure.Instance, departure.Acknowledged)})
 			}
 		}
-		found = append(found, presences.readyAgain(agent)...)
+		found = append(found, presences.readyAfterDraining(agent)...)
 	}
 	return found
 }
 
-// readyAfter finds a time in the spans, not before the earliest one, at which the worker is shown as ready.
-func (s presenceLog) readyAfter(instance string, spans []Span, earliest time.Duration) (time.Duration, bool) {
+// firstReady returns the first time within the spans, but not before earliest, at which the worker is shown as ready.
+func (p presenceLog) firstReady(instance string, spans []Span, earliest time.Duration) (time.Duration, bool) {
 	for _, span := range spans {
 		from := max(span.From, earliest)
 		if from >= span.To {
 			continue
 		}
-		if s.stateAt(instance, from) == Ready {
+		if p.stateAt(instance, from) == Ready {
 			return from, true
 		}
-		for _, change := range s[instance] {
+		for _, change := range p[instance] {
 			if change.State == Ready && from <= change.At && change.At < span.To {
 				return change.At, true
 			}
@@ -71,25 +71,25 @@
 	return 0, false
 }
 
-// readyAgain finds workers that were draining and are ready again in the same incarnation of the agent.
-func (s presenceLog) readyAgain(agent int) []Violation {
+// readyAfterDraining finds workers that become ready again after draining within one incarnation of the agent.
+func (p presenceLog) readyAfterDraining(agent int) []Violation {
 	var found []Violation
-	for instance, changes := range s {
+	for instance, changes := range p {
 		drained := map[int]bool{}
 		for _, change := range changes {
 			if change.State == Draining {
 				drained[change.Incarnation] = true
 			}
 			if change.State == Ready && drained[change.Incarnation] {
-				found = append(found, Violation{Check: CheckDepartures, At: change.At, Text: fmt.Sprintf("agent %d shows %s as ready after it was draining", agent, instance)})
+				found = append(found, Violation{Check: CheckDepartures, At: change.At, Text: fmt.Sprintf("agent %d shows worker %s as ready after it was draining", agent, instance)})
 			}
 		}
 	}
 	return found
 }
 
-// checkRegistrations finds agents that were in contact since a worker's heartbeat was acknowledged and do not show the
-// worker Registration later, though it has not begun to leave.
+// checkRegistrations finds agents that do not show a worker Bounds.Registration after one of its heartbeats was acknowledged,
+// although the agent was in contact all that time and the worker has not begun to leave.
 func checkRegistrations(history History) []Violation {
 	leaving := map[string]time.Duration{}
 	for _, departure := range history.Departures {
@@ -110,7 +110,7 @@
 			}
 			if presences.stateAt(heartbeat.Instance, at) == Absent {
 				found = append(found, Violation{Check: CheckRegistration, At: at,
-					Text: fmt.Sprintf("agent %d does not show %s, whose heartbeat was acknowledged at %v", agent, heartbeat.Instance, heartbeat.At)})
+					Text: fmt.Sprintf("agent %d does not show worker %s, whose heartbeat was acknowledged at %v", agent, heartbeat.Instance, heartbeat.At)})
 			}
 		}
 	}
