--- a/internal/testkit/controlplanesim/schedule/draw.go
+++ b/internal/testkit/controlplanesim/schedule/draw.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Shape is what schedules are drawn for.
+// Shape holds the parameters for generating schedules.
 type Shape struct {
 	Servers   int `json:"Keepers"`
 	Tolerance int
@@ -17,187 +17,189 @@
 	Workers   int
 	Length    time.Duration
 	Omit      []string
-	Focus     []Family // families that the schedules consist of for the most part; nil: each schedule draws its own mix
-	SlowDisks bool     // all disks are slow now and then, and all servers lose power meanwhile
+	Focus     []Family // families that most events are drawn from; nil means that each schedule draws its own mix
+	SlowDisks bool     // all disks are slow from time to time, and all servers lose power during these times
 }
 
-// quietStart is the time at the start without events: the group is founded and the first configuration sent.
-const quietStart = 4 * time.Second
+// startupTime is the time without events at the start, in which the group is bootstrapped and the first configuration sent.
+const startupTime = 4 * time.Second
 
-// randomStream separates the random numbers of schedules from other ones of the same seed.
+// randomStream keeps the random numbers of schedules independent of others that are drawn from the same seed.
 const randomStream = 0x5ced
 
-// drawer draws the events of one schedule.
-type drawer struct {
+// generator draws the events of one schedule.
+type generator struct {
 	random *rand.Rand
 	shape  Shape
 	losses []loss
 	events []Event
 }
 
-// loss is a span in which a slot counts as lost.
+// loss is a time span in which a slot counts as lost.
 type loss struct {
-	slot     int // below 0: one that is not known before, the leader's
+	slot     int // negative for a slot that is not known in advance, that of the leader
 	from, to time.Duration
 }
 
-// Bounds of servers that schedules lower, so that a short run reaches what production reaches in hours.
+// Lowered limits of servers, so that a short run reaches states that production reaches only after hours.
 const (
-	fewSnapshotEntries = 40
-	fewRemembered      = 16
+	lowSnapshotEntries   = 40
+	lowRememberedChanges = 16
 )
 
-// Draw returns the schedule with the seed and shape. At no instant are more servers lost than the tolerance, counting
-// each for CatchUp after it is back, but for events that take every server down at once and leave the disks.
+// Draw returns the schedule for the seed and shape; the result is deterministic. The number of lost servers never exceeds the
+// tolerance, counting each server until CatchUp after its return. Events that take every server down at once but leave the disks
+// are exempt.
 func Draw(seed uint64, shape Shape) Schedule {
-	d := &drawer{random: rand.New(rand.NewPCG(seed, randomStream)), shape: shape}
-	families := d.pickFamilies()
-	snapshotEntries, remembered := pick(d, 0, fewSnapshotEntries, fewSnapshotEntries), pick(d, 0, fewRemembered)
-	at := quietStart
+	g := &generator{random: rand.New(rand.NewPCG(seed, randomStream)), shape: shape}
+	families := g.pickFamilies()
+	snapshotEntries, remembered := pick(g, 0, lowSnapshotEntries, lowSnapshotEntries), pick(g, 0, lowRememberedChanges)
+	at := startupTime
 	for {
-		at += d.between(100*time.Millisecond, 3500*time.Millisecond)
+		at += g.drawDuration(100*time.Millisecond, 3500*time.Millisecond)
 		if at >= shape.Length {
 			break
 		}
-		drawFamilies[pick(d, families...)](d, at)
+		familyGenerators[pick(g, families...)](g, at)
 	}
 	if shape.SlowDisks {
-		d.slowDisks()
+		g.slowDisks()
 	}
-	slices.SortStableFunc(d.events, func(a, b Event) int { return cmp.Compare(a.At, b.At) })
+	slices.SortStableFunc(g.events, func(a, b Event) int { return cmp.Compare(a.At, b.At) })
 	return Schedule{Seed: seed, Servers: shape.Servers, Tolerance: shape.Tolerance, Agents: shape.Agents, Operators: shape.Operators,
 		Workers: shape.Workers, Length: shape.Length, SnapshotEntries: snapshotEntries, Remembered: remembered, Omit: slices.Clone(shape.Omit),
-		Events: d.events}
+		Events: g.events}
 }
 
-// Family names a group of events that belong together.
+// Family is the name of a group of related events.
 type Family string
 
-// Families of events. A campaign for a guard focuses on those that bring about what it guards against.
+// Families of events. A campaign that tests a guard focuses on the families that cause the fault it guards against.
 const (
-	FamilyMachine         Family = "machine"         // machines go down for a while
-	FamilyCut             Family = "cut"             // partitions, also with callers inside them
-	FamilyChain           Family = "chain"           // one loss after the other, each soon after the repair of the one before
-	FamilyAllDown         Family = "all-down"        // all servers at once
-	FamilyRace            Family = "race"            // operators send at once
-	FamilyBurst           Family = "burst"           // operators send many changes
+	FamilyMachine         Family = "machine"         // machines go down temporarily
+	FamilyCut             Family = "cut"             // network partitions, some with callers on the isolated side
+	FamilyChain           Family = "chain"           // consecutive losses, each soon after the repair of the one before
+	FamilyAllDown         Family = "all-down"        // all servers go down at once
+	FamilyRace            Family = "race"            // operators send concurrently
+	FamilyBurst           Family = "burst"           // operators send many changes in a row
 	FamilyDisk            Family = "disk"            // faulty disks
 	FamilyLink            Family = "link"            // faulty links
-	FamilyWorkers         Family = "workers"         // workers come and go
+	FamilyWorkers         Family = "workers"         // workers join and leave
 	FamilyRoll            Family = "roll"            // a rolling restart
 	FamilyBad             Family = "bad"             // invalid configurations
 	FamilyAcknowledgement Family = "acknowledgement" // losses right after an acknowledgement, a send or an election
-	FamilyReplies         Family = "replies"         // answers are lost
-	FamilyElection        Family = "election"        // leaders go, and voters lose power while they vote
-	FamilySync            Family = "sync"            // a loss of power in the moment of a sync
+	FamilyReplies         Family = "replies"         // answers to operators are lost
+	FamilyElection        Family = "election"        // leaders fail, and voters lose power while they vote
+	FamilySync            Family = "sync"            // a power loss during a disk sync
 	FamilyRejoin          Family = "rejoin"          // a machine loses its disk, joins, and loses it again
-	FamilyQuota           Family = "quota"           // processors shared by quota
-	FamilyStall           Family = "stall"           // goroutines that stall between the clock and the act
-	FamilyOldLeader       Family = "old-leader"      // a leader is cut off and comes back amid changes
+	FamilyQuota           Family = "quota"           // CPU quotas
+	FamilyStall           Family = "stall"           // goroutines pause between reading the clock and acting on it
+	FamilyOldLeader       Family = "old-leader"      // a leader is partitioned and returns while changes are sent
 )
 
-// drawFamilies draws the events of each family.
-var drawFamilies = map[Family]func(*drawer, time.Duration){
-	FamilyMachine: (*drawer).machine, FamilyCut: (*drawer).cut, FamilyChain: (*drawer).chain, FamilyAllDown: (*drawer).allDown,
-	FamilyRace: (*drawer).race, FamilyBurst: (*drawer).burst, FamilyDisk: (*drawer).disk, FamilyLink: (*drawer).link,
-	FamilyWorkers: (*drawer).workers, FamilyRoll: (*drawer).roll, FamilyBad: (*drawer).bad,
-	FamilyAcknowledgement: (*drawer).afterAcknowledgement, FamilyReplies: (*drawer).loseReplies, FamilyElection: (*drawer).election,
-	FamilySync: (*drawer).powerAtSync, FamilyRejoin: (*drawer).rejoin, FamilyQuota: (*drawer).quota, FamilyStall: (*drawer).stall,
-	FamilyOldLeader: (*drawer).oldLeader,
+// familyGenerators holds the function that draws the events of each family.
+var familyGenerators = map[Family]func(*generator, time.Duration){
+	FamilyMachine: (*generator).machine, FamilyCut: (*generator).cut, FamilyChain: (*generator).chain, FamilyAllDown: (*generator).allDown,
+	FamilyRace: (*generator).race, FamilyBurst: (*generator).burst, FamilyDisk: (*generator).disk, FamilyLink: (*generator).link,
+	FamilyWorkers: (*generator).workers, FamilyRoll: (*generator).roll, FamilyBad: (*generator).invalidConfig,
+	FamilyAcknowledgement: (*generator).afterAcknowledgement, FamilyReplies: (*generator).loseReplies, FamilyElection: (*generator).election,
+	FamilySync: (*generator).powerAtSync, FamilyRejoin: (*generator).rejoin, FamilyQuota: (*generator).quota, FamilyStall: (*generator).stall,
+	FamilyOldLeader: (*generator).oldLeader,
 }
 
-// focusWeight is how often a family of the focus is drawn for each one of the mix.
+// focusWeight is the weight of the focus families relative to the rest of the mix.
 const focusWeight = 6
 
-// pickFamilies draws which families the schedule has, so that some schedules have much of one thing and little of others.
-func (d *drawer) pickFamilies() []Family {
-	all := slices.Sorted(maps.Keys(drawFamilies))
+// pickFamilies draws a weighted list of families for the schedule, so that schedules differ in which events prevail.
+func (g *generator) pickFamilies() []Family {
+	all := slices.Sorted(maps.Keys(familyGenerators))
 	var mix []Family
-	for _, one := range all {
-		for range d.random.IntN(4) {
-			mix = append(mix, one)
+	for _, family := range all {
+		for range g.random.IntN(4) {
+			mix = append(mix, family)
 		}
 	}
-	if len(d.shape.Focus) == 0 {
+	if len(g.shape.Focus) == 0 {
 		if len(mix) == 0 {
 			return all
 		}
 		return mix
 	}
-	for range focusWeight * (1 + len(mix)/len(d.shape.Focus)) {
-		mix = append(mix, d.shape.Focus...)
+	for range focusWeight * (1 + len(mix)/len(g.shape.Focus)) {
+		mix = append(mix, g.shape.Focus...)
 	}
 	return mix
 }
 
-// between draws a span from low to under high, in whole milliseconds.
-func (d *drawer) between(low, high time.Duration) time.Duration {
-	return (low + time.Duration(d.random.Int64N(int64(high-low)))).Round(time.Millisecond)
+// drawDuration draws a duration from low up to but not including high, rounded to whole milliseconds.
+func (g *generator) drawDuration(low, high time.Duration) time.Duration {
+	return (low + time.Duration(g.random.Int64N(int64(high-low)))).Round(time.Millisecond)
 }
 
-// pick draws one of the choices.
-func pick[T any](d *drawer, choices ...T) T { return choices[d.random.IntN(len(choices))] }
+// pick draws one of the choices with equal probability.
+func pick[T any](g *generator, choices ...T) T { return choices[g.random.IntN(len(choices))] }
 
-// pickSome draws up to limit different slots out of count, at least one.
-func (d *drawer) pickSome(count, limit int) []int {
+// pickSome draws between 1 and limit distinct indexes below count and returns them sorted. It returns nil if count or limit is 0.
+func (g *generator) pickSome(count, limit int) []int {
 	if count == 0 || limit == 0 {
 		return nil
 	}
-	indexes := d.random.Perm(count)[:1+d.random.IntN(min(count, limit))]
+	indexes := g.random.Perm(count)[:1+g.random.IntN(min(count, limit))]
 	slices.Sort(indexes)
 	return indexes
 }
 
-// add adds the event.
-func (d *drawer) add(event Event) { d.events = append(d.events, event) }
+func (g *generator) add(event Event) { g.events = append(g.events, event) }
 
-// addLoss adds an event that costs the group its servers, unless more than the tolerance would be lost at once.
-func (d *drawer) addLoss(event Event) bool {
+// addLoss adds an event during which its servers count as lost. It returns false, without adding the event, if more servers than
+// the tolerance would be lost at the same time.
+func (g *generator) addLoss(event Event) bool {
 	until := event.End() + CatchUp
-	if len(event.Servers) == 0 || !d.withinTolerance(event.Servers, event.At, until) {
+	if len(event.Servers) == 0 || !g.withinTolerance(event.Servers, event.At, until) {
 		return false
 	}
 	for _, slot := range event.Servers {
-		d.losses = append(d.losses, loss{slot: slot, from: event.At, to: until})
+		g.losses = append(g.losses, loss{slot: slot, from: event.At, to: until})
 	}
-	d.add(event)
+	g.add(event)
 	return true
 }
 
-// withinTolerance reports whether the slots may be lost from one time to the other beside those that are lost by then.
-func (d *drawer) withinTolerance(indexes []int, from, to time.Duration) bool {
+// withinTolerance reports whether the given slots may be lost between from and to, in addition to those already lost in that
+// time.
+func (g *generator) withinTolerance(slots []int, from, to time.Duration) bool {
 	lost := map[int]bool{}
-	for _, slot := range indexes {
+	for _, slot := range slots {
 		lost[slot] = true
 	}
-	for _, other := range d.losses {
+	for _, other := range g.losses {
 		if other.from < to && from < other.to {
 			lost[other.slot] = true
 		}
 	}
-	return len(lost) <= d.shape.Tolerance
+	return len(lost) <= g.shape.Tolerance
 }
 
-// addLeaderLoss adds an event that costs the group its leader, whichever server that is then, beside those that the event names
-// behind the first.
-func (d *drawer) addLeaderLoss(event Event) bool {
+// addLeaderLoss adds an event during which the leader at that time counts as lost, along with the servers of the event after the
+// first. Like addLoss it returns false if that would exceed the tolerance.
+func (g *generator) addLeaderLoss(event Event) bool {
 	event.Leader = true
-	unknown := -1 - len(d.losses)
-	slots := append([]int{unknown}, event.Servers[1:]...)
+	leader := -1 - len(g.losses)
+	slots := append([]int{leader}, event.Servers[1:]...)
 	until := event.End() + CatchUp
-	if !d.withinTolerance(slots, event.At, until) {
+	if !g.withinTolerance(slots, event.At, until) {
 		return false
 	}
 	for _, slot := range slots {
-		d.losses = append(d.losses, loss{slot: slot, from: event.At, to: until})
+		g.losses = append(g.losses, loss{slot: slot, from: event.At, to: until})
 	}
-	d.add(event)
+	g.add(event)
 	return true
 }
 
-// loseAll records every server as lost.
-func (d *drawer) loseAll(from, to time.Duration) {
-	for slot := range d.shape.Servers {
-		d.losses = append(d.losses, loss{slot: slot, from: from, to: to})
+// loseAll records every server as lost between from and to.
+func (g *generator) loseAll(from, to time.Duration) {
+	for slot := range g.shape.Servers {
+		g.losses = append(g.losses, loss{slot: slot, from: from, to: to})
 	}
 }
--- a/internal/testkit/controlplanesim/schedule/families.go
+++ b/internal/testkit/controlplanesim/schedule/families.go
@@ -5,153 +5,153 @@
 	"time"
 )
 
-// machine takes machines down for a while.
-func (d *drawer) machine(at time.Duration) {
-	kind := pick(d, Kill, Kill, Power, Power, Wipe, Freeze)
-	d.addLoss(Event{At: at, Kind: kind, Servers: d.pickSome(d.shape.Servers, d.shape.Tolerance), For: d.downtime()})
+// machine takes machines down temporarily.
+func (g *generator) machine(at time.Duration) {
+	kind := pick(g, Kill, Kill, Power, Power, Wipe, Freeze)
+	g.addLoss(Event{At: at, Kind: kind, Servers: g.pickSome(g.shape.Servers, g.shape.Tolerance), For: g.downtime()})
 }
 
-// downtime draws how long a machine is down: mostly about a second, at times long.
-func (d *drawer) downtime() time.Duration {
-	return pick(d, d.between(100*time.Millisecond, time.Second), d.between(time.Second, 4*time.Second), d.between(4*time.Second, 15*time.Second))
+// downtime draws the time that a machine is down: below 1 s, 1 s to 4 s or 4 s to 15 s, with equal probability.
+func (g *generator) downtime() time.Duration {
+	return pick(g, g.drawDuration(100*time.Millisecond, time.Second), g.drawDuration(time.Second, 4*time.Second), g.drawDuration(4*time.Second, 15*time.Second))
 }
 
-// cut cuts servers off, often for as long as operators observe, and adds events meanwhile.
-func (d *drawer) cut(at time.Duration) {
-	event := Event{At: at, Kind: Cut, Variant: pick(d, variants[Cut]...), Servers: d.pickSome(d.shape.Servers, d.shape.Tolerance),
-		For: pick(d, d.between(500*time.Millisecond, 4*time.Second), d.between(14*time.Second, 21*time.Second))}
+// cut partitions servers, often for as long as operators wait for an answer, and adds events during the partition.
+func (g *generator) cut(at time.Duration) {
+	event := Event{At: at, Kind: Cut, Variant: pick(g, variants[Cut]...), Servers: g.pickSome(g.shape.Servers, g.shape.Tolerance),
+		For: pick(g, g.drawDuration(500*time.Millisecond, 4*time.Second), g.drawDuration(14*time.Second, 21*time.Second))}
 	if event.Variant == CutSide {
-		event.Agents = d.pickSome(d.shape.Agents, d.shape.Agents)
+		event.Agents = g.pickSome(g.shape.Agents, g.shape.Agents)
 	}
-	event.Restart = event.Variant != CutServers && d.random.IntN(3) == 0
-	if d.random.IntN(2) == 0 {
-		event.Operators = d.pickSome(d.shape.Operators, d.shape.Operators)
-		event.Workers = d.pickSome(d.shape.Workers, d.shape.Workers)
+	event.Restart = event.Variant != CutServers && g.random.IntN(3) == 0
+	if g.random.IntN(2) == 0 {
+		event.Operators = g.pickSome(g.shape.Operators, g.shape.Operators)
+		event.Workers = g.pickSome(g.shape.Workers, g.shape.Workers)
 	}
-	if !d.addLoss(event) {
+	if !g.addLoss(event) {
 		return
 	}
-	for range d.random.IntN(3) {
-		amid := at + d.between(0, event.For)
-		pick(d, (*drawer).race, (*drawer).workers, (*drawer).loseReplies)(d, amid)
+	for range g.random.IntN(3) {
+		during := at + g.drawDuration(0, event.For)
+		pick(g, (*generator).race, (*generator).workers, (*generator).loseReplies)(g, during)
 	}
 }
 
-// chain takes down one machine after the other, each soon after the one before has been repaired.
-func (d *drawer) chain(at time.Duration) {
-	for range 2 + d.random.IntN(2) {
-		event := Event{At: at, Kind: pick(d, Replace, Replace, Wipe, Kill, Power), Servers: d.pickSome(d.shape.Servers, 1), For: d.between(50*time.Millisecond, 2*time.Second)}
+// chain takes down one machine after the other, each soon after the previous one has been repaired.
+func (g *generator) chain(at time.Duration) {
+	for range 2 + g.random.IntN(2) {
+		event := Event{At: at, Kind: pick(g, Replace, Replace, Wipe, Kill, Power), Servers: g.pickSome(g.shape.Servers, 1), For: g.drawDuration(50*time.Millisecond, 2*time.Second)}
 		if event.Kind == Replace {
-			event.Variant = pick(d, variants[Replace]...)
+			event.Variant = pick(g, variants[Replace]...)
 		}
-		if !d.addLoss(event) {
+		if !g.addLoss(event) {
 			return
 		}
-		at = event.End() + CatchUp + d.between(500*time.Millisecond, 6*time.Second)
-		if at >= d.shape.Length {
+		at = event.End() + CatchUp + g.drawDuration(500*time.Millisecond, 6*time.Second)
+		if at >= g.shape.Length {
 			return
 		}
 	}
 }
 
-// allDown takes every server down at once; some lose their disks, as many as may.
-func (d *drawer) allDown(at time.Duration) {
-	event := Event{At: at, Kind: pick(d, KillAll, PowerAll, RestartAll), For: d.between(50*time.Millisecond, time.Second)}
-	event.On = pick(d, "", "", Acknowledgement, Sent)
-	if event.Kind != RestartAll && d.random.IntN(2) == 0 {
-		event.Servers = d.pickSome(d.shape.Servers, d.shape.Tolerance)
+// allDown takes every server down at once. Some servers, within the tolerance, may also lose their disks.
+func (g *generator) allDown(at time.Duration) {
+	event := Event{At: at, Kind: pick(g, KillAll, PowerAll, RestartAll), For: g.drawDuration(50*time.Millisecond, time.Second)}
+	event.On = pick(g, "", "", Acknowledgement, Sent)
+	if event.Kind != RestartAll && g.random.IntN(2) == 0 {
+		event.Servers = g.pickSome(g.shape.Servers, g.shape.Tolerance)
 	}
 	until := event.End() + CatchUp
-	if !d.withinTolerance(event.Servers, event.At, until) {
+	if !g.withinTolerance(event.Servers, event.At, until) {
 		event.Servers = nil
 	}
-	d.loseAll(event.At, until)
-	d.add(event)
+	g.loseAll(event.At, until)
+	g.add(event)
 }
 
 // afterAcknowledgement takes machines down right after an order, a drain or an election.
-func (d *drawer) afterAcknowledgement(at time.Duration) {
-	event := Event{At: at, On: pick(d, Acknowledgement, Acknowledgement, Sent, Election, Drain), Kind: pick(d, Kill, Power, Wipe, Freeze), For: d.downtime(),
-		Servers: d.pickSome(d.shape.Servers, d.shape.Tolerance), Delay: pick(d, 0, d.between(time.Millisecond, 30*time.Millisecond), d.between(30*time.Millisecond, 500*time.Millisecond))}
-	d.addLoss(event)
+func (g *generator) afterAcknowledgement(at time.Duration) {
+	event := Event{At: at, On: pick(g, Acknowledgement, Acknowledgement, Sent, Election, Drain), Kind: pick(g, Kill, Power, Wipe, Freeze), For: g.downtime(),
+		Servers: g.pickSome(g.shape.Servers, g.shape.Tolerance), Delay: pick(g, 0, g.drawDuration(time.Millisecond, 30*time.Millisecond), g.drawDuration(30*time.Millisecond, 500*time.Millisecond))}
+	g.addLoss(event)
 }
 
-// race has operators send at once, often with their answers lost.
-func (d *drawer) race(at time.Duration) {
-	event := Event{At: at, Kind: Race, Variant: pick(d, variants[Race]...), Operators: d.pickSome(d.shape.Operators, d.shape.Operators)}
+// race has operators send concurrently, often with lost answers.
+func (g *generator) race(at time.Duration) {
+	event := Event{At: at, Kind: Race, Variant: pick(g, variants[Race]...), Operators: g.pickSome(g.shape.Operators, g.shape.Operators)}
 	if len(event.Operators) == 0 {
 		return
 	}
 	if event.Variant == RaceBodies || event.Variant == RaceSame {
-		event.Operators = d.everyOperator()
+		event.Operators = g.everyOperator()
 	}
-	d.add(event)
-	if d.random.IntN(2) == 0 {
-		d.add(Event{At: at, Kind: LoseReplies, Operators: slices.Clone(event.Operators), For: d.between(200*time.Millisecond, 2*time.Second)})
+	g.add(event)
+	if g.random.IntN(2) == 0 {
+		g.add(Event{At: at, Kind: LoseReplies, Operators: slices.Clone(event.Operators), For: g.drawDuration(200*time.Millisecond, 2*time.Second)})
 	}
 }
 
-func (d *drawer) everyOperator() []int {
-	all := make([]int, d.shape.Operators)
+func (g *generator) everyOperator() []int {
+	all := make([]int, g.shape.Operators)
 	for i := range all {
 		all[i] = i
 	}
 	return all
 }
 
-// loseReplies loses the answers to operators for a while.
-func (d *drawer) loseReplies(at time.Duration) {
-	if operators := d.pickSome(d.shape.Operators, d.shape.Operators); len(operators) > 0 {
-		d.add(Event{At: at, Kind: LoseReplies, Operators: operators, For: d.between(200*time.Millisecond, 4*time.Second)})
+// loseReplies drops the answers to operators for some time.
+func (g *generator) loseReplies(at time.Duration) {
+	if operators := g.pickSome(g.shape.Operators, g.shape.Operators); len(operators) > 0 {
+		g.add(Event{At: at, Kind: LoseReplies, Operators: operators, For: g.drawDuration(200*time.Millisecond, 4*time.Second)})
 	}
 }
 
-// burst has operators send many changes.
-func (d *drawer) burst(at time.Duration) {
-	if operators := d.pickSome(d.shape.Operators, d.shape.Operators); len(operators) > 0 {
-		d.add(Event{At: at, Kind: Burst, Operators: operators, Count: pick(d, 5, 20, 60)})
+// burst has operators send many changes in a row.
+func (g *generator) burst(at time.Duration) {
+	if operators := g.pickSome(g.shape.Operators, g.shape.Operators); len(operators) > 0 {
+		g.add(Event{At: at, Kind: Burst, Operators: operators, Count: pick(g, 5, 20, 60)})
 	}
 }
 
-// bad has an operator send what must be rejected.
-func (d *drawer) bad(at time.Duration) {
-	if operators := d.pickSome(d.shape.Operators, 1); len(operators) > 0 {
-		d.add(Event{At: at, Kind: Bad, Variant: pick(d, variants[Bad]...), Operators: operators})
+// invalidConfig has an operator send a configuration that must be rejected.
+func (g *generator) invalidConfig(at time.Duration) {
+	if operators := g.pickSome(g.shape.Operators, 1); len(operators) > 0 {
+		g.add(Event{At: at, Kind: Bad, Variant: pick(g, variants[Bad]...), Operators: operators})
 	}
 }
 
 // disk makes disks faulty.
-func (d *drawer) disk(at time.Duration) {
-	d.addLoss(Event{At: at, Kind: Disk, Variant: pick(d, variants[Disk]...), Servers: d.pickSome(d.shape.Servers, d.shape.Tolerance), For: d.between(200*time.Millisecond, 6*time.Second)})
+func (g *generator) disk(at time.Duration) {
+	g.addLoss(Event{At: at, Kind: Disk, Variant: pick(g, variants[Disk]...), Servers: g.pickSome(g.shape.Servers, g.shape.Tolerance), For: g.drawDuration(200*time.Millisecond, 6*time.Second)})
 }
 
 // link makes the links of servers or agents faulty.
-func (d *drawer) link(at time.Duration) {
-	event := Event{At: at, Kind: Link, Variant: pick(d, variants[Link]...), For: d.between(100*time.Millisecond, 5*time.Second)}
-	if d.random.IntN(3) == 0 {
-		if event.Agents = d.pickSome(d.shape.Agents, d.shape.Agents); len(event.Agents) > 0 {
-			d.add(event)
+func (g *generator) link(at time.Duration) {
+	event := Event{At: at, Kind: Link, Variant: pick(g, variants[Link]...), For: g.drawDuration(100*time.Millisecond, 5*time.Second)}
+	if g.random.IntN(3) == 0 {
+		if event.Agents = g.pickSome(g.shape.Agents, g.shape.Agents); len(event.Agents) > 0 {
+			g.add(event)
 		}
 		return
 	}
-	event.Servers = d.pickSome(d.shape.Servers, d.shape.Tolerance)
-	d.addLoss(event)
+	event.Servers = g.pickSome(g.shape.Servers, g.shape.Tolerance)
+	g.addLoss(event)
 }
 
-// roll ends and starts all servers one after the other, each when the one before is no longer lost.
-func (d *drawer) roll(at time.Duration) {
-	event := Event{At: at, Kind: Roll, For: CatchUp + d.between(500*time.Millisecond, 2*time.Second), Servers: d.random.Perm(d.shape.Servers)}
+// roll restarts all servers one after the other, each when the previous one no longer counts as lost.
+func (g *generator) roll(at time.Duration) {
+	event := Event{At: at, Kind: Roll, For: CatchUp + g.drawDuration(500*time.Millisecond, 2*time.Second), Servers: g.random.Perm(g.shape.Servers)}
 	spans := event.rollSpans()
 	for _, span := range spans {
-		if !d.withinTolerance([]int{span.slot}, span.from, span.to) {
+		if !g.withinTolerance([]int{span.slot}, span.from, span.to) {
 			return
 		}
 	}
-	d.losses = append(d.losses, spans...)
-	d.add(event)
+	g.losses = append(g.losses, spans...)
+	g.add(event)
 }
 
-// rollSpans returns the spans in which each server of a roll is lost.
+// rollSpans returns the time in which each server of a rolling restart counts as lost.
 func (e Event) rollSpans() []loss {
 	spans := make([]loss, len(e.Servers))
 	for i, slot := range e.Servers {
@@ -161,26 +161,27 @@
 	return spans
 }
 
-// workers has workers leave, crash or be late, at times with a fault right after the acknowledgement.
-func (d *drawer) workers(at time.Duration) {
-	workers := d.pickSome(d.shape.Workers, 3)
+// workers has workers leave, crash or send late heartbeats, at times with a fault right after the acknowledgement of a drain or departure.
+func (g *generator) workers(at time.Duration) {
+	workers := g.pickSome(g.shape.Workers, 3)
 	if len(workers) == 0 {
 		return
 	}
-	event := Event{At: at, Kind: Worker, Variant: pick(d, variants[Worker]...), Workers: workers, For: d.between(500*time.Millisecond, 6*time.Second)}
-	d.add(event)
-	if event.Variant != WorkerLate && event.Variant != WorkerCrash && d.random.IntN(3) == 0 {
-		d.addLoss(Event{At: at, On: Drain, Kind: pick(d, Kill, Power, Wipe), Servers: d.pickSome(d.shape.Servers, d.shape.Tolerance), For: d.downtime()})
+	event := Event{At: at, Kind: Worker, Variant: pick(g, variants[Worker]...), Workers: workers, For: g.drawDuration(500*time.Millisecond, 6*time.Second)}
+	g.add(event)
+	if event.Variant != WorkerLate && event.Variant != WorkerCrash && g.random.IntN(3) == 0 {
+		g.addLoss(Event{At: at, On: Drain, Kind: pick(g, Kill, Power, Wipe), Servers: g.pickSome(g.shape.Servers, g.shape.Tolerance), For: g.downtime()})
 	}
 }
 
-// slowDisks slows all disks now and then and has all servers lose power meanwhile, at an acknowledgement or a send: what was
-// acknowledged before it was durable is then lost. Slowed machines count as lost, so nothing but safety is asked in that time.
-func (d *drawer) slowDisks() {
-	all := d.everyServer()
-	for at := quietStart; at < d.shape.Length; at += d.between(4*time.Second, 8*time.Second) {
-		d.add(Event{At: at, Kind: Disk, Variant: DiskSlow, Servers: all, For: d.between(2*time.Second, 4*time.Second)})
-		d.add(Event{At: at + d.between(100*time.Millisecond, 1500*time.Millisecond), On: pick(d, Acknowledgement, Acknowledgement, Sent, Election), Kind: PowerAll,
-			Delay: pick(d, 0, d.between(time.Millisecond, 40*time.Millisecond)), For: d.between(50*time.Millisecond, 500*time.Millisecond)})
+// slowDisks slows all disks from time to time and has all servers lose power during these times, at an acknowledgement, a send or
+// an election. Anything that was acknowledged before it was durable is then lost. Slowed machines count as lost, so only safety is
+// checked in that time, not availability.
+func (g *generator) slowDisks() {
+	all := g.everyServer()
+	for at := startupTime; at < g.shape.Length; at += g.drawDuration(4*time.Second, 8*time.Second) {
+		g.add(Event{At: at, Kind: Disk, Variant: DiskSlow, Servers: all, For: g.drawDuration(2*time.Second, 4*time.Second)})
+		g.add(Event{At: at + g.drawDuration(100*time.Millisecond, 1500*time.Millisecond), On: pick(g, Acknowledgement, Acknowledgement, Sent, Election), Kind: PowerAll,
+			Delay: pick(g, 0, g.drawDuration(time.Millisecond, 40*time.Millisecond)), For: g.drawDuration(50*time.Millisecond, 500*time.Millisecond)})
 	}
 }
--- a/internal/testkit/controlplanesim/schedule/guarded_families.go
+++ b/internal/testkit/controlplanesim/schedule/guarded_families.go
@@ -2,105 +2,105 @@
 
 import "time"
 
-// The families of this file bring about states that a guard of consensus or membership watches, and that the general ones seldom
-// reach.
+// The families in this file create states that a guard of consensus or membership protects against and that the general families
+// seldom reach.
 
-// election takes the leader down, at times with all disks or all links slow, and has voters lose power while they vote.
-func (d *drawer) election(at time.Duration) {
-	down := Event{At: at, Kind: pick(d, Kill, Kill, Freeze, Power), Servers: []int{0}, For: d.between(500*time.Millisecond, 4*time.Second)}
-	if !d.addLeaderLoss(down) {
+// election takes the leader down and has a voter lose power while it votes, at times with all disks or all links slow.
+func (g *generator) election(at time.Duration) {
+	down := Event{At: at, Kind: pick(g, Kill, Kill, Freeze, Power), Servers: []int{0}, For: g.drawDuration(500*time.Millisecond, 4*time.Second)}
+	if !g.addLeaderLoss(down) {
 		return
 	}
-	voter := Event{At: at, On: pick(d, Candidacy, Election, Sync), Kind: Power, Servers: d.pickSome(d.shape.Servers, 1),
-		Delay: pick(d, 0, d.between(time.Millisecond, 5*time.Millisecond), d.between(5*time.Millisecond, 60*time.Millisecond)),
-		For:   d.between(20*time.Millisecond, 300*time.Millisecond)}
-	if d.random.IntN(2) == 0 {
-		d.addLoss(voter)
+	voter := Event{At: at, On: pick(g, Candidacy, Election, Sync), Kind: Power, Servers: g.pickSome(g.shape.Servers, 1),
+		Delay: pick(g, 0, g.drawDuration(time.Millisecond, 5*time.Millisecond), g.drawDuration(5*time.Millisecond, 60*time.Millisecond)),
+		For:   g.drawDuration(20*time.Millisecond, 300*time.Millisecond)}
+	if g.random.IntN(2) == 0 {
+		g.addLoss(voter)
 		return
 	}
-	slow := Event{At: at, Kind: Disk, Variant: DiskSlow, Servers: d.everyServer(), For: d.between(time.Second, 4*time.Second)}
-	if d.random.IntN(2) == 0 {
+	slow := Event{At: at, Kind: Disk, Variant: DiskSlow, Servers: g.everyServer(), For: g.drawDuration(time.Second, 4*time.Second)}
+	if g.random.IntN(2) == 0 {
 		slow.Kind, slow.Variant = Link, LinkSlow
 	}
-	d.loseAll(slow.At, max(slow.End(), voter.End())+CatchUp) // the service may rest then, no disk is lost
-	d.add(slow)
-	d.add(voter)
+	g.loseAll(slow.At, max(slow.End(), voter.End())+CatchUp) // availability is not required then, but no disk is lost
+	g.add(slow)
+	g.add(voter)
 }
 
-func (d *drawer) everyServer() []int {
-	all := make([]int, d.shape.Servers)
+func (g *generator) everyServer() []int {
+	all := make([]int, g.shape.Servers)
 	for slot := range all {
 		all[slot] = slot
 	}
 	return all
 }
 
-// powerAtSync has servers lose power in the moment in which one of them syncs its disk, also all of them, or right after a start on
-// an empty disk.
-func (d *drawer) powerAtSync(at time.Duration) {
-	delay := pick(d, 0, time.Duration(d.random.IntN(5))*100*time.Microsecond, d.between(time.Millisecond, 20*time.Millisecond))
-	servers := d.pickSome(d.shape.Servers, 1)
-	if d.random.IntN(3) == 0 {
-		d.loseAll(at, at+TriggerWindow+time.Second+CatchUp)
-		d.add(Event{At: at, On: Sync, Delay: delay, Kind: PowerAll, For: d.between(50*time.Millisecond, 500*time.Millisecond)})
+// powerAtSync has a server lose power while it syncs its disk, at times right after it started with an empty disk, or has all
+// servers lose power during a sync.
+func (g *generator) powerAtSync(at time.Duration) {
+	delay := pick(g, 0, time.Duration(g.random.IntN(5))*100*time.Microsecond, g.drawDuration(time.Millisecond, 20*time.Millisecond))
+	servers := g.pickSome(g.shape.Servers, 1)
+	if g.random.IntN(3) == 0 {
+		g.loseAll(at, at+TriggerWindow+time.Second+CatchUp)
+		g.add(Event{At: at, On: Sync, Delay: delay, Kind: PowerAll, For: g.drawDuration(50*time.Millisecond, 500*time.Millisecond)})
 		return
 	}
-	wiped := Event{At: at, Kind: Wipe, Servers: servers, For: d.between(50*time.Millisecond, 500*time.Millisecond)}
-	if d.random.IntN(2) == 0 && !d.addLoss(wiped) {
+	wiped := Event{At: at, Kind: Wipe, Servers: servers, For: g.drawDuration(50*time.Millisecond, 500*time.Millisecond)}
+	if g.random.IntN(2) == 0 && !g.addLoss(wiped) {
 		return
 	}
-	d.addLoss(Event{At: at + wiped.For + time.Millisecond, On: Sync, Delay: delay, Kind: Power, Servers: servers, For: d.between(50*time.Millisecond, time.Second)})
+	g.addLoss(Event{At: at + wiped.For + time.Millisecond, On: Sync, Delay: delay, Kind: Power, Servers: servers, For: g.drawDuration(50*time.Millisecond, time.Second)})
 }
 
-// rejoin has a machine lose its disk twice in a row, so that its first join requests and answers are late.
-func (d *drawer) rejoin(at time.Duration) {
-	d.addLoss(Event{At: at, Kind: Rewipe, Servers: d.pickSome(d.shape.Servers, 1), For: pick(d, d.between(100*time.Millisecond, time.Second), d.between(time.Second, 3*time.Second))})
+// rejoin has a machine lose its disk twice in a row, so that requests and answers of its first join arrive late.
+func (g *generator) rejoin(at time.Duration) {
+	g.addLoss(Event{At: at, Kind: Rewipe, Servers: g.pickSome(g.shape.Servers, 1), For: pick(g, g.drawDuration(100*time.Millisecond, time.Second), g.drawDuration(time.Second, 3*time.Second))})
 }
 
-// Shares of a tenth of a second, in percent, that quotas give: control plane servers have about a core, agents share a part of one.
+// CPU quotas in percent of each 100 ms. Control plane servers have about one core, agents a part of a core.
 var (
 	serverShares = []int{60, 80, 95}
 	agentShares  = []int{10, 20, 40}
 )
 
-// quota gives processes a share of each tenth of a second. It is no fault: every promise holds meanwhile.
-func (d *drawer) quota(at time.Duration) {
-	span := d.between(2*time.Second, 12*time.Second)
-	d.add(Event{At: at, Kind: Quota, Servers: d.pickSome(d.shape.Servers, d.shape.Servers), Count: pick(d, serverShares...), For: span})
-	if agents := d.pickSome(d.shape.Agents, d.shape.Agents); len(agents) > 0 {
-		d.add(Event{At: at, Kind: Quota, Agents: agents, Count: pick(d, agentShares...), For: span})
+// quota limits the CPU time of processes in each 100 ms. It is not a fault: all guarantees hold during it.
+func (g *generator) quota(at time.Duration) {
+	span := g.drawDuration(2*time.Second, 12*time.Second)
+	g.add(Event{At: at, Kind: Quota, Servers: g.pickSome(g.shape.Servers, g.shape.Servers), Count: pick(g, serverShares...), For: span})
+	if agents := g.pickSome(g.shape.Agents, g.shape.Agents); len(agents) > 0 {
+		g.add(Event{At: at, Kind: Quota, Agents: agents, Count: pick(g, agentShares...), For: span})
 	}
 }
 
-// stall has goroutines of servers stall between reading the clock and acting, half of the time the leader's.
-func (d *drawer) stall(at time.Duration) {
-	event := Event{At: at, Kind: Stall, Servers: []int{0}, For: d.between(time.Second, 6*time.Second)}
-	if d.random.IntN(2) == 0 {
-		d.addLeaderLoss(event)
+// stall has goroutines of servers pause between reading the clock and acting on it, half of the time those of the leader.
+func (g *generator) stall(at time.Duration) {
+	event := Event{At: at, Kind: Stall, Servers: []int{0}, For: g.drawDuration(time.Second, 6*time.Second)}
+	if g.random.IntN(2) == 0 {
+		g.addLeaderLoss(event)
 		return
 	}
-	event.Servers = d.pickSome(d.shape.Servers, d.shape.Tolerance)
-	d.addLoss(event)
+	event.Servers = g.pickSome(g.shape.Servers, g.shape.Tolerance)
+	g.addLoss(event)
 }
 
-// oldLeader cuts the leader off, or freezes it, while operators send and the others elect another one; at times all go down soon
-// after it is back.
-func (d *drawer) oldLeader(at time.Duration) {
-	event := Event{At: at, Kind: pick(d, Freeze, Cut, Cut, Cut), Servers: []int{0}, For: d.between(1200*time.Millisecond, 6*time.Second)}
+// oldLeader partitions or freezes the leader while operators send and the other servers elect a new one. At times all servers go
+// down soon after it returns.
+func (g *generator) oldLeader(at time.Duration) {
+	event := Event{At: at, Kind: pick(g, Freeze, Cut, Cut, Cut), Servers: []int{0}, For: g.drawDuration(1200*time.Millisecond, 6*time.Second)}
 	if event.Kind == Cut {
-		event.Variant = pick(d, CutServers, CutInward, CutOutward)
-		event.Operators = d.pickSome(d.shape.Operators, max(1, d.shape.Operators-1))
-		event.Workers = d.pickSome(d.shape.Workers, d.shape.Workers)
+		event.Variant = pick(g, CutServers, CutInward, CutOutward)
+		event.Operators = g.pickSome(g.shape.Operators, max(1, g.shape.Operators-1))
+		event.Workers = g.pickSome(g.shape.Workers, g.shape.Workers)
 	}
-	if !d.addLeaderLoss(event) {
+	if !g.addLeaderLoss(event) {
 		return
 	}
-	if operators := d.everyOperator(); len(operators) > 0 {
-		d.add(Event{At: at + d.between(0, event.For), Kind: Burst, Operators: operators, Count: 5})
+	if operators := g.everyOperator(); len(operators) > 0 {
+		g.add(Event{At: at + g.drawDuration(0, event.For), Kind: Burst, Operators: operators, Count: 5})
 	}
-	if d.random.IntN(2) == 0 {
-		back := event.End() + d.between(0, 400*time.Millisecond)
-		d.loseAll(back, back+time.Second+CatchUp)
-		d.add(Event{At: back, Kind: pick(d, KillAll, PowerAll), For: d.between(50*time.Millisecond, 500*time.Millisecond)})
+	if g.random.IntN(2) == 0 {
+		back := event.End() + g.drawDuration(0, 400*time.Millisecond)
+		g.loseAll(back, back+time.Second+CatchUp)
+		g.add(Event{At: back, Kind: pick(g, KillAll, PowerAll), For: g.drawDuration(50*time.Millisecond, 500*time.Millisecond)})
 	}
 }
--- a/internal/testkit/controlplanesim/schedule/schedule_test.go
+++ b/internal/testkit/controlplanesim/schedule/schedule_test.go
@@ -11,7 +11,7 @@
 	"ospreybend/internal/testkit/controlplanesim/schedule"
 )
 
-// shapes are those that the tests draw for.
+// shapes are the parameters of the schedules that the tests generate.
 var shapes = []schedule.Shape{
 	{Servers: 3, Tolerance: 1, Agents: 4, Operators: 2, Workers: 6, Length: 60 * time.Second},
 	{Servers: 5, Tolerance: 2, Agents: 6, Operators: 3, Workers: 8, Length: 60 * time.Second},
@@ -23,12 +23,12 @@
 	for _, shape := range shapes {
 		for seed := range uint64(300) {
 			drawn := schedule.Draw(seed, shape)
-			read, err := schedule.Parse(drawn.Format())
+			parsed, err := schedule.Parse(drawn.Format())
 			if err != nil {
-				t.Fatalf("seed %d: %v\n%s", seed, err, drawn.Format())
+				t.Fatalf("seed %d: Parse of the formatted schedule: %v\n%s", seed, err, drawn.Format())
 			}
-			if !reflect.DeepEqual(read, drawn) {
-				t.Fatalf("seed %d: read back as\n%s\nwritten as\n%s", seed, read.Format(), drawn.Format())
+			if !reflect.DeepEqual(parsed, drawn) {
+				t.Fatalf("seed %d: Parse returned\n%s\nwant\n%s", seed, parsed.Format(), drawn.Format())
 			}
 		}
 	}
@@ -36,16 +36,16 @@
 
 func TestDraw_deterministic(t *testing.T) {
 	for seed := range uint64(50) {
-		if one, other := schedule.Draw(seed, shapes[1]), schedule.Draw(seed, shapes[1]); !reflect.DeepEqual(one, other) {
-			t.Fatalf("seed %d draws two schedules", seed)
+		if first, second := schedule.Draw(seed, shapes[1]), schedule.Draw(seed, shapes[1]); !reflect.DeepEqual(first, second) {
+			t.Fatalf("seed %d: two calls of Draw returned different schedules", seed)
 		}
 	}
 	if schedule.Draw(1, shapes[0]).Format() == schedule.Draw(2, shapes[0]).Format() {
-		t.Error("two seeds draw one schedule")
+		t.Error("Draw returned the same schedule for seeds 1 and 2")
 	}
 }
 
-// TestDraw_lossesWithinTolerance counts the lost servers at each tenth of a second, independently of Draw's own accounting.
+// TestDraw_lossesWithinTolerance counts the lost servers every 100 ms, independently of the accounting in Draw.
 func TestDraw_lossesWithinTolerance(t *testing.T) {
 	const step = 100 * time.Millisecond
 	for _, shape := range shapes {
@@ -53,22 +53,23 @@
 			drawn := schedule.Draw(seed, shape)
 			for at := time.Duration(0); at < drawn.End()+schedule.CatchUp; at += step {
 				if lost := lostAt(drawn, at); len(lost) > shape.Tolerance && !allSlowAt(drawn, at) {
-					t.Fatalf("seed %d: %d servers are lost at %v\n%s", seed, len(lost), at, drawn.Format())
+					t.Fatalf("seed %d: %d servers are lost at %v, want at most %d\n%s", seed, len(lost), at, shape.Tolerance, drawn.Format())
 				}
 			}
 		}
 	}
 }
 
-// allSlowAt reports whether all servers have slow disks or links at the time, or had until shortly before: the service may rest then.
+// allSlowAt reports whether all servers have slow disks or links at the given time, or had until shortly before. Availability is not
+// required then.
 func allSlowAt(s schedule.Schedule, at time.Duration) bool {
-	const voteLoss = schedule.TriggerWindow + time.Second // that the slow disks are drawn with
+	const voteLoss = schedule.TriggerWindow + time.Second // longest delay and duration of the power loss that is drawn with slow disks
 	return slices.ContainsFunc(s.Events, func(event schedule.Event) bool {
 		return (event.Kind == schedule.Disk || event.Kind == schedule.Link) && len(event.Servers) == s.Servers && event.At <= at && at < event.End()+voteLoss+schedule.CatchUp
 	})
 }
 
-// lostAt returns the servers that are lost to single events at the time. The leader, whichever it is, counts as one more.
+// lostAt returns the slots that are lost at the given time. An unknown leader counts as an additional slot, with a negative number.
 func lostAt(s schedule.Schedule, at time.Duration) map[int]bool {
 	lost := map[int]bool{}
 	for number, event := range s.Events {
@@ -78,8 +79,8 @@
 			if event.At > at || at >= event.End()+schedule.CatchUp {
 				continue
 			}
-			for place, slot := range event.Servers {
-				if event.Leader && place == 0 {
+			for i, slot := range event.Servers {
+				if event.Leader && i == 0 {
 					slot = -1 - number
 				}
 				lost[slot] = true
@@ -99,13 +100,13 @@
 	slow := shapes[0]
 	slow.SlowDisks = true
 	for seed := range uint64(50) {
-		plain, more := schedule.Draw(seed, shapes[0]), schedule.Draw(seed, slow)
-		if err := more.Check(); err != nil {
+		plain, withSlowDisks := schedule.Draw(seed, shapes[0]), schedule.Draw(seed, slow)
+		if err := withSlowDisks.Check(); err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
-		added := 2 * (allDisks(more) - allDisks(plain)) // with the loss of power meanwhile
-		if added < 10 || len(more.Events) != len(plain.Events)+added {
-			t.Fatalf("seed %d: %d events, %d of them added to %d", seed, len(more.Events), added, len(plain.Events))
+		added := 2 * (allDisks(withSlowDisks) - allDisks(plain)) // each comes with a power loss
+		if added < 10 || len(withSlowDisks.Events) != len(plain.Events)+added {
+			t.Fatalf("seed %d: got %d events with slow disks and %d without, want a difference of %d and of at least 10", seed, len(withSlowDisks.Events), len(plain.Events), added)
 		}
 	}
 }
@@ -131,7 +132,7 @@
 	}
 	for kind, count := range seen {
 		if kind != schedule.Rewipe && count > seen[schedule.Rewipe] {
-			t.Errorf("%s is drawn %d times, the focus %d times", kind, count, seen[schedule.Rewipe])
+			t.Errorf("kind %s was drawn %d times, more often than rewipe of the focus (%d times)", kind, count, seen[schedule.Rewipe])
 		}
 	}
 }
@@ -147,7 +148,7 @@
 		schedule.Link, schedule.KillAll, schedule.PowerAll, schedule.RestartAll, schedule.Roll, schedule.LoseReplies, schedule.Race, schedule.Burst,
 		schedule.Bad, schedule.Worker, schedule.Quota, schedule.Stall, schedule.Rewipe} {
 		if seen[kind] < 10 {
-			t.Errorf("%s is drawn %d times in 300 schedules", kind, seen[kind])
+			t.Errorf("kind %s was drawn %d times in 300 schedules, want at least 10", kind, seen[kind])
 		}
 	}
 }
@@ -155,22 +156,22 @@
 func TestParse_invalid(t *testing.T) {
 	const head = "schedule seed=1 keepers=3 tolerance=1 agents=1 operators=1 workers=1 length=10s\n"
 	for name, text := range map[string]string{
-		"empty":            "",
-		"no header":        "1s kill keepers=0",
-		"unknown field":    "schedule seed=1 keepers=3 colour=red",
-		"unknown kind":     head + "1s burn keepers=0",
-		"unknown variant":  head + "1s cut variant=odd keepers=0",
-		"missing variant":  head + "1s cut keepers=0",
-		"surplus variant":  head + "1s kill variant=side keepers=0",
-		"unknown trigger":  head + "1s kill on=noon keepers=0",
-		"no such place":    head + "1s kill keepers=3",
-		"out of order":     head + "2s kill keepers=0\n1s kill keepers=1",
-		"negative":         head + "1s kill keepers=0 for=-1s",
-		"an event's field": head + "1s kill keepers=0 loud",
-		"no kind":          head + "1s",
+		"empty":                 "",
+		"no header":             "1s kill keepers=0",
+		"unknown field":         "schedule seed=1 keepers=3 colour=red",
+		"unknown kind":          head + "1s burn keepers=0",
+		"unknown variant":       head + "1s cut variant=odd keepers=0",
+		"missing variant":       head + "1s cut keepers=0",
+		"kind without variants": head + "1s kill variant=side keepers=0",
+		"unknown trigger":       head + "1s kill on=noon keepers=0",
+		"no such server":        head + "1s kill keepers=3",
+		"out of order":          head + "2s kill keepers=0\n1s kill keepers=1",
+		"negative":              head + "1s kill keepers=0 for=-1s",
+		"unknown event field":   head + "1s kill keepers=0 loud",
+		"no kind":               head + "1s",
 	} {
 		if _, err := schedule.Parse(text); !errors.Is(err, schedule.ErrSyntax) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: Parse returned error %v, want ErrSyntax", name, err)
 		}
 	}
 }
@@ -189,26 +190,26 @@
 	})
 	want := strings.Join([]string{"wipe", "storm"}, ",")
 	if got := kindsOf(small); got != want {
-		t.Errorf("shrunk to %s, want %s:\n%s", got, want, small.Format())
+		t.Errorf("Shrink kept events %s, want %s:\n%s", got, want, small.Format())
 	}
 	if burst := small.Events[len(small.Events)-1]; burst.Count != 7 || len(burst.Operators) != 1 {
-		t.Errorf("the storm was not made smaller: %v", burst)
+		t.Errorf("burst after Shrink: got %v, want 7 changes by 1 operator", burst)
 	}
 	if wipe := small.Events[0]; len(wipe.Servers) != 1 || wipe.For >= 20*time.Millisecond {
-		t.Errorf("the wipe was not made smaller: %v", wipe)
+		t.Errorf("wipe after Shrink: got %v, want 1 server and less than 20 ms", wipe)
 	}
 	if small.Agents != 1 || small.Workers != 1 {
-		t.Errorf("the world was not made smaller: %s", small.Format())
+		t.Errorf("counts after Shrink: got %d agents and %d workers, want 1 and 1:\n%s", small.Agents, small.Workers, small.Format())
 	}
 	if calls > 500 {
-		t.Errorf("%d schedules were tried", calls)
+		t.Errorf("Shrink tried %d schedules, want at most 500", calls)
 	}
 }
 
 func TestShrink_doesNotFail(t *testing.T) {
 	drawn := schedule.Draw(3, shapes[0])
 	if got := schedule.Shrink(drawn, func(schedule.Schedule) bool { return false }); !reflect.DeepEqual(got, drawn) {
-		t.Error("a schedule that does not fail was changed")
+		t.Error("Shrink changed a schedule for which fails is false")
 	}
 }
 
@@ -219,11 +220,11 @@
 		return len(s.Events) > 1 && s.Events[0].At == first && s.Events[len(s.Events)-1].At == last
 	})
 	if len(small.Events) != 2 {
-		t.Errorf("shrunk to %d events, want 2", len(small.Events))
+		t.Errorf("Shrink kept %d events, want 2", len(small.Events))
 	}
 }
 
-// insert adds the events in the order of their times.
+// insert adds the events at the positions that keep the slice sorted by time.
 func insert(events []schedule.Event, more ...schedule.Event) []schedule.Event {
 	for _, event := range more {
 		at := 0
@@ -237,8 +238,8 @@
 
 func hasWipeOf(s schedule.Schedule, slot int) bool {
 	for _, event := range s.Events {
-		for _, struck := range event.Servers {
-			if event.Kind == schedule.Wipe && struck == slot && event.At == 20*time.Second {
+		for _, wiped := range event.Servers {
+			if event.Kind == schedule.Wipe && wiped == slot && event.At == 20*time.Second {
 				return true
 			}
 		}
--- a/internal/testkit/controlplanesim/schedule/shrink.go
+++ b/internal/testkit/controlplanesim/schedule/shrink.go
@@ -5,27 +5,27 @@
 	"time"
 )
 
-// minSpan is the span below which a time is not made shorter.
+// minSpan is the resolution of shortened times; a time below twice this value is not shortened further.
 const minSpan = 10 * time.Millisecond
 
-// Shrink returns a smaller schedule for which fails still holds: first with fewer events, then with fewer slots,
-// smaller counts and shorter spans. It returns s itself if fails does not hold for it.
+// Shrink returns a smaller schedule for which fails still returns true. It first removes events, then removes slots, lowers counts
+// and shortens times. It returns s itself if fails(s) is false.
 func Shrink(s Schedule, fails func(Schedule) bool) Schedule {
 	if !fails(s) {
 		return s
 	}
 	for {
-		smaller := dropEvents(s, fails)
-		smaller = shrinkEvents(smaller, fails)
-		smaller = shrinkCounts(smaller, fails)
-		if len(smaller.Events) == len(s.Events) {
-			return smaller
+		shrunk := dropEvents(s, fails)
+		shrunk = shrinkEvents(shrunk, fails)
+		shrunk = shrinkCounts(shrunk, fails)
+		if len(shrunk.Events) == len(s.Events) {
+			return shrunk
 		}
-		s = smaller
+		s = shrunk
 	}
 }
 
-// dropEvents removes runs of events, long ones first, as delta debugging does.
+// dropEvents removes runs of consecutive events, long runs first, by delta debugging.
 func dropEvents(s Schedule, fails func(Schedule) bool) Schedule {
 	for size := (len(s.Events) + 1) / 2; size > 0; size /= 2 {
 		for start := 0; start < len(s.Events); {
@@ -41,15 +41,15 @@
 	return s
 }
 
-// shrinkEvents makes each event smaller as long as the schedule still fails.
+// shrinkEvents simplifies each event as long as the schedule still fails.
 func shrinkEvents(schedule Schedule, fails func(Schedule) bool) Schedule {
 	for i := range schedule.Events {
 		for improved := true; improved; {
 			improved = false
-			for _, lesser := range smallerEvents(schedule.Events[i]) {
+			for _, smaller := range smallerEvents(schedule.Events[i]) {
 				candidate := schedule
 				candidate.Events = slices.Clone(schedule.Events)
-				candidate.Events[i] = lesser
+				candidate.Events[i] = smaller
 				if fails(candidate) {
 					schedule, improved = candidate, true
 					break
@@ -60,53 +60,53 @@
 	return schedule
 }
 
-// smallerEvents are the events that are one step smaller.
+// smallerEvents returns the events that are one step simpler than the given one.
 func smallerEvents(event Event) []Event {
-	var lesser []Event
+	var smaller []Event
 	add := func(change func(*Event)) {
-		smaller := event
-		change(&smaller)
-		lesser = append(lesser, smaller)
+		changed := event
+		change(&changed)
+		smaller = append(smaller, changed)
 	}
 	if event.Count > 1 {
-		add(func(s *Event) { s.Count = event.Count / 2 })
-		add(func(s *Event) { s.Count = event.Count - 1 })
+		add(func(e *Event) { e.Count = event.Count / 2 })
+		add(func(e *Event) { e.Count = event.Count - 1 })
 	}
 	if event.For >= 2*minSpan {
-		add(func(s *Event) { s.For = (event.For / 2).Round(minSpan) })
+		add(func(e *Event) { e.For = (event.For / 2).Round(minSpan) })
 	}
 	if event.Delay > 0 {
-		add(func(s *Event) { s.Delay = 0 })
+		add(func(e *Event) { e.Delay = 0 })
 	}
 	if event.Leader {
-		add(func(s *Event) { s.Leader = false })
+		add(func(e *Event) { e.Leader = false })
 	}
 	if event.Restart {
-		add(func(s *Event) { s.Restart = false })
+		add(func(e *Event) { e.Restart = false })
 	}
 	for _, indexes := range []func(*Event) *[]int{
-		func(s *Event) *[]int { return &s.Servers },
-		func(s *Event) *[]int { return &s.Agents },
-		func(s *Event) *[]int { return &s.Operators },
-		func(s *Event) *[]int { return &s.Workers },
+		func(e *Event) *[]int { return &e.Servers },
+		func(e *Event) *[]int { return &e.Agents },
+		func(e *Event) *[]int { return &e.Operators },
+		func(e *Event) *[]int { return &e.Workers },
 	} {
 		all := *indexes(&event)
 		for i := range all {
 			if len(all) > 1 {
-				add(func(s *Event) { *indexes(s) = slices.Delete(slices.Clone(all), i, i+1) })
+				add(func(e *Event) { *indexes(e) = slices.Delete(slices.Clone(all), i, i+1) })
 			}
 		}
 	}
-	return lesser
+	return smaller
 }
 
-// shrinkCounts lowers the counts of agents, operators and workers, and the length, as far as the events allow.
+// shrinkCounts lowers the numbers of agents, operators and workers, and the length, as far as the events permit.
 func shrinkCounts(s Schedule, fails func(Schedule) bool) Schedule {
 	for improved := true; improved; {
 		improved = false
-		for _, lesser := range smallerCounts(s) {
-			if lesser.Check() == nil && fails(lesser) {
-				s, improved = lesser, true
+		for _, smaller := range smallerCounts(s) {
+			if smaller.Check() == nil && fails(smaller) {
+				s, improved = smaller, true
 				break
 			}
 		}
@@ -114,17 +114,18 @@
 	return s
 }
 
+// smallerCounts returns the schedules that have one agent, operator or worker less, or a shorter length.
 func smallerCounts(schedule Schedule) []Schedule {
-	var lesser []Schedule
+	var smaller []Schedule
 	for _, count := range []func(*Schedule) *int{
-		func(c *Schedule) *int { return &c.Agents },
-		func(c *Schedule) *int { return &c.Operators },
-		func(c *Schedule) *int { return &c.Workers },
+		func(s *Schedule) *int { return &s.Agents },
+		func(s *Schedule) *int { return &s.Operators },
+		func(s *Schedule) *int { return &s.Workers },
 	} {
 		if *count(&schedule) > 1 {
-			smaller := schedule
-			*count(&smaller)--
-			lesser = append(lesser, smaller)
+			changed := schedule
+			*count(&changed)--
+			smaller = append(smaller, changed)
 		}
 	}
 	last := time.Duration(0)
@@ -132,9 +133,9 @@
 		last = schedule.Events[len(schedule.Events)-1].At
 	}
 	if schedule.Length > last+time.Second {
-		smaller := schedule
-		smaller.Length = last + time.Second
-		lesser = append(lesser, smaller)
+		changed := schedule
+		changed.Length = last + time.Second
+		smaller = append(smaller, changed)
 	}
-	return lesser
+	return smaller
 }
--- a/internal/testkit/controlplanesim/schedule/text.go
+++ b/internal/testkit/controlplanesim/schedule/text.go
@@ -9,23 +9,23 @@
 	"time"
 )
 
-// formatHeader begins the text form of a schedule.
+// formatHeader is the first word of a formatted schedule.
 const formatHeader = "schedule"
 
-// ErrSyntax is wrapped by each error of Parse and Check.
-var ErrSyntax = errors.New("not a schedule")
+// ErrSyntax is wrapped by every error that Parse and Check return.
+var ErrSyntax = errors.New("invalid schedule")
 
-// Details of ErrSyntax.
+// Details that accompany ErrSyntax.
 var (
-	errUnknownField    = errors.New("no such field")
-	errIncompleteEvent = errors.New("an event needs a time and a kind")
-	errUnknownKind     = errors.New("no such kind")
-	errUnknownVariant  = errors.New("no such variant")
-	errUnknownTrigger  = errors.New("no such trigger")
-	errNegative        = errors.New("a time or count is negative")
+	errUnknownField    = errors.New("unknown field")
+	errIncompleteEvent = errors.New("event without a time or a kind")
+	errUnknownKind     = errors.New("unknown event kind")
+	errUnknownVariant  = errors.New("variant is unknown or missing, or the kind has no variants")
+	errUnknownTrigger  = errors.New("unknown trigger")
+	errNegative        = errors.New("negative time or count")
 )
 
-// Format writes the schedule as text: a line with the schedule's fields, then a line for each event.
+// Format returns the schedule as text: one line with the fields of the schedule, then one line per event.
 func (s Schedule) Format() string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "%s seed=%d keepers=%d tolerance=%d agents=%d operators=%d workers=%d length=%v",
@@ -47,7 +47,7 @@
 	return text.String()
 }
 
-// String is the event's line.
+// String returns the line of the event in the text form of a schedule.
 func (e Event) String() string {
 	words := []string{e.At.String(), string(e.Kind)}
 	add := func(name, value string) {
@@ -90,17 +90,17 @@
 	return strings.Join(words, ",")
 }
 
-// Parse reads what Format writes. Empty lines and lines that begin with # are passed over.
+// Parse parses the output of Format and checks the schedule. It ignores empty lines and lines that begin with #.
 func Parse(text string) (Schedule, error) {
 	var parsed Schedule
-	begun := false
+	headerParsed := false
 	for number, line := range strings.Split(text, "\n") {
 		line = strings.TrimSpace(line)
 		if line == "" || strings.HasPrefix(line, "#") {
 			continue
 		}
 		var err error
-		if begun {
+		if headerParsed {
 			err = parsed.parseEvent(line)
 		} else {
 			err = parsed.parseHeader(line)
@@ -108,10 +108,10 @@
 		if err != nil {
 			return Schedule{}, fmt.Errorf("%w: line %d: %w", ErrSyntax, number+1, err)
 		}
-		begun = true
+		headerParsed = true
 	}
-	if !begun {
-		return Schedule{}, fmt.Errorf("%w: it is empty", ErrSyntax)
+	if !headerParsed {
+		return Schedule{}, fmt.Errorf("%w: the text is empty", ErrSyntax)
 	}
 	return parsed, parsed.Check()
 }
@@ -119,7 +119,7 @@
 func (s *Schedule) parseHeader(line string) error {
 	words := strings.Fields(line)
 	if words[0] != formatHeader {
-		return fmt.Errorf("it begins with %q, not with %q", words[0], formatHeader)
+		return fmt.Errorf("the first word is %q, want %q", words[0], formatHeader)
 	}
 	for _, word := range words[1:] {
 		name, value, _ := strings.Cut(word, "=")
@@ -220,17 +220,18 @@
 	return indexes, nil
 }
 
-// Check reports what makes the schedule unplayable: an unknown word, an index out of range, events out of order.
+// Check returns an error if the schedule cannot be executed: an unknown kind, variant or trigger, an index out of range, a negative
+// value, or events that are not sorted by time.
 func (s Schedule) Check() error {
 	if s.Servers < 1 || s.Tolerance < 0 || s.Agents < 0 || s.Operators < 0 || s.Workers < 0 || s.Length < 0 || s.SnapshotEntries < 0 || s.Remembered < 0 {
-		return fmt.Errorf("%w: the number of servers must be positive, the other counts not negative", ErrSyntax)
+		return fmt.Errorf("%w: the number of servers must be positive, and all other counts and the length must not be negative", ErrSyntax)
 	}
 	for i, event := range s.Events {
 		if i > 0 && event.At < s.Events[i-1].At {
-			return fmt.Errorf("%w: %q comes after a later event", ErrSyntax, event)
+			return fmt.Errorf("%w: event %q follows an event with a later time", ErrSyntax, event)
 		}
 		if err := s.checkEvent(event); err != nil {
-			return fmt.Errorf("%w: %q: %w", ErrSyntax, event, err)
+			return fmt.Errorf("%w: event %q: %w", ErrSyntax, event, err)
 		}
 	}
 	return nil
@@ -255,7 +256,7 @@
 	}{{event.Servers, s.Servers}, {event.Agents, s.Agents}, {event.Operators, s.Operators}, {event.Workers, s.Workers}} {
 		for _, index := range group.indexes {
 			if index < 0 || index >= group.count {
-				return fmt.Errorf("index %d is out of range", index)
+				return fmt.Errorf("index %d is out of range, want 0 to %d", index, group.count-1)
 			}
 		}
 	}
--- a/internal/testkit/controlplanesim/schedule/types.go
+++ b/internal/testkit/controlplanesim/schedule/types.go
@@ -2,150 +2,148 @@
 
 import "time"
 
-// Bounds that schedules are drawn for, as the deployment's pages state them.
+// Time limits that generated schedules respect, as the deployment documents state them.
 const (
-	CatchUp       = 4 * time.Second // a machine counts as lost for so long after it is back
-	TriggerWindow = 2 * time.Second // an event whose trigger doesn't come within this time after At is dropped
+	CatchUp       = 4 * time.Second // a machine still counts as lost for this time after its return
+	TriggerWindow = 2 * time.Second // an event is dropped if its trigger does not occur within this time after At
 )
 
-// Schedule is the input of one simulated run. The first servers' slots are 0 to Servers-1; a replaced
-// machine's successor takes over its slot at another address.
+// Schedule is the input of one simulated run. The slots of the initial servers are 0 to Servers-1. The successor of a replaced
+// machine takes over its slot at another address.
 type Schedule struct {
-	Seed      uint64        // of the network, the disks and all that is scripted
-	Servers   int           // machines of the core at the start
-	Tolerance int           // machines that may be lost at once; 2*Tolerance+1 voters are wanted
-	Agents    int           // agents, each with the views that its proxy takes
-	Operators int           // operators that send orders, each one after the other
-	Workers   int           // workers that register
-	Length    time.Duration // from the start to the last event; checks of recovery follow
-
-	SnapshotEntries int // entries after which servers compact their logs; 0: as in production
-	Remembered      int // accepted changes that servers remember; 0: as in production
-
-	Omit   []string // names of guards that are left out
-	Events []Event  // ordered by At
+	Seed      uint64        // random seed of the network, the disks and the scripted callers
+	Servers   int           // number of control plane servers at the start
+	Tolerance int           // number of servers that may be lost at the same time; groups aim for 2*Tolerance+1 voters
+	Agents    int           // number of agents, each of which applies views for its proxy
+	Operators int           // number of operators, each of which sends its orders one after the other
+	Workers   int           // number of workers that register
+	Length    time.Duration // time from the start to the last event; recovery checks follow
+
+	SnapshotEntries int // number of log entries after which servers compact their logs; 0 means the production value
+	Remembered      int // number of accepted changes that servers remember; 0 means the production value
+
+	Omit   []string // names of guards (safety checks in the code under test) that are disabled
+	Events []Event  // sorted by At
 }
 
-// Event is one thing that happens. Which fields count depends on Kind.
+// Event is one fault or action. Kind determines which fields apply.
 type Event struct {
-	At        time.Duration // since the start; with a trigger: the earliest time
-	On        Trigger       // what the event waits for, empty: nothing
-	Delay     time.Duration // between the trigger and the event
+	At        time.Duration // time since the start; with a trigger, the earliest time
+	On        Trigger       // trigger that the event waits for; empty means none
+	Delay     time.Duration // time between the trigger and the event
 	Kind      Kind
 	Variant   Variant
-	Servers   []int         // slots that are affected
-	Agents    []int         // agents that are affected, or that share the servers' side of a cut
-	Operators []int         // operators that are concerned
-	Workers   []int         // workers that are concerned
-	For       time.Duration // how long it lasts, or until what was stopped is started again
-	Count     int           // number of orders
-	Leader    bool          // the configuration's leader takes the place of the first of Servers
-	Restart   bool          // of a cut: processes on the cut side are killed and started meanwhile, their seeds are the cut servers
+	Servers   []int         // slots of the affected servers
+	Agents    []int         // affected agents, or those on the servers' side of a partition
+	Operators []int         // affected operators
+	Workers   []int         // affected workers
+	For       time.Duration // duration of the event, or downtime until a restart
+	Count     int           // number of orders; for Quota, the CPU share in percent
+	Leader    bool          // the leader of the configuration group replaces the first entry of Servers
+	Restart   bool          // for a partition: processes on the isolated side are killed and restarted during it, with the isolated servers as their seeds
 }
 
-// Kind is what happens.
+// Kind is the type of an event.
 type Kind string
 
-// Kinds of events.
 const (
-	Kill        Kind = "kill"         // Servers' processes die and start again after For; disks stay
-	Power       Kind = "power"        // Servers lose power: writes that were not synced may be lost or torn; back after For
-	Wipe        Kind = "wipe"         // Servers lose their disks and start empty at the old address after For
-	Freeze      Kind = "freeze"       // Servers or Agents are frozen for For, then process what has arrived
-	Cut         Kind = "cut"          // Servers, and Agents along with them, are partitioned off for For
-	Replace     Kind = "replace"      // Servers end and empty machines at other addresses take their slots after For
-	Disk        Kind = "disk"         // the disks of Servers are faulty for For
-	Link        Kind = "link"         // the links of Servers or Agents are faulty for For
-	KillAll     Kind = "kill-all"     // all servers' processes die at once; back after For, disks stay, but for those of Servers
-	PowerAll    Kind = "power-all"    // all servers lose power at once; back after For; Servers lose their disks too
-	RestartAll  Kind = "restart-all"  // all servers get SIGTERM at once; back after For
-	Roll        Kind = "roll"         // Servers get SIGTERM one after the other, For apart, and start again
+	Kill        Kind = "kill"         // processes of Servers are killed and restart after For; disks are kept
+	Power       Kind = "power"        // Servers lose power and return after For; writes that were not synced may be lost or torn
+	Wipe        Kind = "wipe"         // Servers lose their disks and start empty at the same address after For
+	Freeze      Kind = "freeze"       // Servers or Agents are paused for For, then process what has arrived
+	Cut         Kind = "cut"          // Servers, together with Agents, are partitioned from the rest for For
+	Replace     Kind = "replace"      // Servers stop; empty machines at other addresses take over their slots after For
+	Disk        Kind = "disk"         // disks of Servers are faulty for For
+	Link        Kind = "link"         // links of Servers or Agents are faulty for For
+	KillAll     Kind = "kill-all"     // processes of all servers are killed at once and restart after For; disks are kept except those of Servers
+	PowerAll    Kind = "power-all"    // all servers lose power at once and return after For; Servers also lose their disks
+	RestartAll  Kind = "restart-all"  // all servers receive SIGTERM at once and restart after For
+	Roll        Kind = "roll"         // Servers receive SIGTERM one after the other at intervals of For, and restart
 	LoseReplies Kind = "lose-replies" // answers to Operators are lost for For
-	Race        Kind = "race"         // Operators send at once on top of one version
-	Burst       Kind = "storm"        // Operators send Count changes one upon the other without a pause
+	Race        Kind = "race"         // Operators send orders concurrently on the same base
+	Burst       Kind = "storm"        // Operators send Count changes, each based on the one before, without a pause
 	Bad         Kind = "bad"          // Operators send a configuration that must be rejected
-	Worker      Kind = "worker"       // Workers leave, crash or are late
-	Quota       Kind = "quota"        // processes of Servers and Agents run for Count of each hundred milliseconds only, for For
-	Stall       Kind = "stall"        // goroutines of Servers stall now and then between reading the clock and acting on it, for For
-	Rewipe      Kind = "rewipe"       // Servers lose their disks, and again soon after they are back, over slow links; For apart
+	Worker      Kind = "worker"       // Workers leave, crash or send late heartbeats
+	Quota       Kind = "quota"        // processes of Servers and Agents run for only Count of every 100 ms, for For
+	Stall       Kind = "stall"        // goroutines of Servers pause at random between reading the clock and acting on it, for For
+	Rewipe      Kind = "rewipe"       // Servers lose their disks, and lose them again soon after their return over slow links; For apart
 )
 
-// Variant distinguishes events of one Kind.
+// Variant distinguishes events of the same Kind.
 type Variant string
 
-// Variants of Cut. All are between Servers and the other servers; all but the first also concern agents. Operators and
-// Workers that are named reach Servers alone while it lasts.
+// Variants of Cut. Each partitions Servers from the other servers, and all but the first also affect agents. The given Operators
+// and Workers reach only Servers during the partition.
 const (
-	CutServers Variant = "keepers"  // from the other servers alone: every agent, operator and worker still reaches them
-	CutSide    Variant = "side"     // from all but the Agents that are named, and from operators and workers as DEPLOY allows: either side may be reached
-	CutInward  Variant = "inward"   // what others send to Servers is lost; what they send arrives
-	CutOutward Variant = "outward"  // what Servers send is lost; what others send arrives
-	CutAll     Variant = "isolated" // from everybody
+	CutServers Variant = "keepers"  // only from the other servers; every agent, operator and worker still reaches them
+	CutSide    Variant = "side"     // from all agents but the given Agents, and from operators and workers as the deployment guide allows: they may reach either side
+	CutInward  Variant = "inward"   // messages to Servers are lost; messages from Servers arrive
+	CutOutward Variant = "outward"  // messages from Servers are lost; messages to Servers arrive
+	CutAll     Variant = "isolated" // from everything else
 )
 
 // Variants of Replace.
 const (
-	Planned   Variant = "planned"   // the old machine gets SIGTERM when the new one has started
-	Unplanned Variant = "unplanned" // the old machine is gone without notice before the new one starts
+	Planned   Variant = "planned"   // the old machine receives SIGTERM after the new one has started
+	Unplanned Variant = "unplanned" // the old machine fails without notice before the new one starts
 )
 
 // Variants of Disk.
 const (
-	DiskHang Variant = "hang" // writes and syncs wait until the fault is over
-	DiskSlow Variant = "slow" // writes and syncs take a hundred times as long
-	DiskFull Variant = "full" // every write is rejected
+	DiskHang Variant = "hang" // writes and syncs block until the fault ends
+	DiskSlow Variant = "slow" // writes and syncs take 100 times as long
+	DiskFull Variant = "full" // every write fails
 )
 
 // Variants of Link.
 const (
 	LinkReset Variant = "reset" // every connection is reset once
-	LinkHold  Variant = "hold"  // what was sent is delayed and delivered after For, new connections with it
-	LinkSlow  Variant = "slow"  // delays of hundreds of milliseconds, datagrams are lost, repeated and reordered
+	LinkHold  Variant = "hold"  // data in flight and new connections are delayed until For has passed
+	LinkSlow  Variant = "slow"  // delays of hundreds of milliseconds; datagrams are lost, duplicated and reordered
 )
 
 // Variants of Race.
 const (
-	RaceBodies Variant = "bodies" // one number, a different body from each operator
-	RaceSame   Variant = "same"   // the same body by each operator, each at another server
-	RaceRepeat Variant = "repeat" // an operator sends its order again at another server while the first is under way
-	RaceOld    Variant = "old"    // an accepted body is sent again after newer ones
-	RaceAhead  Variant = "ahead"  // an order on top of one that is in flight, sent twice
+	RaceBodies Variant = "bodies" // same generation with a different body from each operator
+	RaceSame   Variant = "same"   // same body from each operator, each at another server
+	RaceRepeat Variant = "repeat" // an operator sends its order again to another server while the first attempt is in flight
+	RaceOld    Variant = "old"    // an accepted body is sent again after newer ones were accepted
+	RaceAhead  Variant = "ahead"  // an order based on one that is still in flight, sent twice
 	RaceBase   Variant = "base"   // an accepted body is sent with an older base
 )
 
 // Variants of Bad.
 const (
-	BadBytes      Variant = "bytes"      // cannot be read completely
+	BadBytes      Variant = "bytes"      // truncated or malformed body
 	BadService    Variant = "service"    // a route names an unknown service
 	BadRoutes     Variant = "routes"     // two routes have the same host and prefix
 	BadWeights    Variant = "weights"    // a route's weights sum to 0
-	BadTimeout    Variant = "timeout"    // a timeoutMs is 0
+	BadTimeout    Variant = "timeout"    // a route has a timeoutMs of 0
 	BadGeneration Variant = "generation" // the generation is not above the current one
 )
 
 // Variants of Worker.
 const (
-	WorkerDrain           Variant = "drain"            // reports that it is draining, then deregisters; a new incarnation follows after For
-	WorkerDeregister      Variant = "deregister"       // deregisters without ever draining and ends
-	WorkerDeregisterFirst Variant = "deregister-first" // deregisters, serves on, ends
-	WorkerCrash           Variant = "crash"            // ends without notice; a new incarnation at the same address after For
-	WorkerLate            Variant = "late"             // its heartbeats come For late
+	WorkerDrain           Variant = "drain"            // reports draining, then deregisters; a new incarnation starts after For
+	WorkerDeregister      Variant = "deregister"       // deregisters without draining and stops
+	WorkerDeregisterFirst Variant = "deregister-first" // deregisters, continues to serve, then stops
+	WorkerCrash           Variant = "crash"            // stops without notice; a new incarnation starts at the same address after For
+	WorkerLate            Variant = "late"             // its heartbeats are delayed by For
 )
 
-// Trigger is what an event waits for.
+// Trigger is a condition that an event waits for.
 type Trigger string
 
-// Triggers of events.
 const (
 	Acknowledgement Trigger = "acknowledgement" // an operator's order is acknowledged
 	Sent            Trigger = "sent"            // an operator's order is sent
-	Election        Trigger = "election"        // a server becomes leader of the configuration's group
+	Election        Trigger = "election"        // a server becomes leader of the configuration group
 	Drain           Trigger = "drain"           // a worker's drain or departure is acknowledged
-	Candidacy       Trigger = "candidacy"       // a server stands for election in the configuration's group
-	Sync            Trigger = "sync"            // a server of the event begins to sync its disk
+	Candidacy       Trigger = "candidacy"       // a server becomes a candidate in the configuration group
+	Sync            Trigger = "sync"            // one of the event's Servers begins a disk sync
 )
 
-// variants lists what each kind may have; the kinds that are missing have none.
+// variants lists the variants of each kind. Kinds without an entry have none.
 var variants = map[Kind][]Variant{
 	Cut:     {CutServers, CutSide, CutInward, CutOutward, CutAll},
 	Replace: {Planned, Unplanned},
@@ -156,13 +154,11 @@
 	Worker:  {WorkerDrain, WorkerDeregister, WorkerDeregisterFirst, WorkerCrash, WorkerLate},
 }
 
-// kinds lists every kind.
 var kinds = []Kind{Kill, Power, Wipe, Freeze, Cut, Replace, Disk, Link, KillAll, PowerAll, RestartAll, Roll, LoseReplies, Race, Burst, Bad, Worker, Quota, Stall, Rewipe}
 
-// triggers lists every trigger.
 var triggers = []Trigger{Acknowledgement, Sent, Election, Drain, Candidacy, Sync}
 
-// End is the latest time at which the event is over, without the time to catch up.
+// End returns the latest time at which the event can end, not including CatchUp.
 func (e Event) End() time.Duration {
 	end := e.At + e.Delay + e.For
 	if e.On != "" {
@@ -177,7 +173,7 @@
 	return end
 }
 
-// End is the time at which every event is over.
+// End returns the time at which all events have ended, at least Length.
 func (s Schedule) End() time.Duration {
 	end := s.Length
 	for _, event := range s.Events {
