--- a/internal/testkit/controlplanesim/simnet/connection.go
+++ b/internal/testkit/controlplanesim/simnet/connection.go
@@ -9,44 +9,44 @@
 	"time"
 )
 
-// Times after which a connection fails.
+// Timeouts of a connection, like those of TCP_USER_TIMEOUT and TCP keepalive.
 const (
-	userTimeout      = 1500 * time.Millisecond // sent bytes are not acknowledged
-	keepaliveTimeout = 3500 * time.Millisecond // nothing is heard of a silent peer
+	userTimeout      = 1500 * time.Millisecond // limit for sent bytes that are not acknowledged
+	keepaliveTimeout = 3500 * time.Millisecond // limit for a peer from which nothing arrives
 )
 
 var (
-	errReset    = os.NewSyscallError("read", syscall.ECONNRESET)
-	errTimeout  = os.NewSyscallError("write", syscall.ETIMEDOUT)
-	errVanished = errors.New("simnet: the machine has lost power")
+	errReset     = os.NewSyscallError("read", syscall.ECONNRESET)
+	errTimeout   = os.NewSyscallError("write", syscall.ETIMEDOUT)
+	errPowerLost = errors.New("simnet: the machine has lost power")
 )
 
-// segment is something under way to an end.
+// segment is data, or the end of the stream, in flight to one end of a connection.
 type segment struct {
 	data    []byte
-	at      time.Time // when it arrives
-	delayed bool      // by a cut
-	finish  error     // io.EOF or a reset: what comes after data
+	arrival time.Time // time of its arrival
+	delayed bool      // held back by a partition
+	end     error     // io.EOF or a reset that follows data; nil if the stream continues
 }
 
-// conn is one end of a connection. The network's mutex guards it.
+// conn is one end of a connection. It is guarded by the mutex of the network.
 type conn struct {
-	network *Network
-	process *Process
-	path    Path // from this end to the peer
-	local   address
-	remote  address
-	peer    *conn
-	stream  uint64
-	sent    uint64 // segments
+	network      *Network
+	process      *Process
+	path         Path // from this end to the peer
+	local        address
+	remote       address
+	peer         *conn
+	stream       uint64
+	segmentsSent uint64
 
 	inbox            []segment
-	deadline         time.Time // of reads
-	wake             chan struct{}
-	closed           error // why this end is closed; nil: it is open
-	since            time.Time
-	cut              bool // either direction is blocked, since then
-	timeoutScheduled bool // a timer will call checkTimeout
+	deadline         time.Time // deadline of reads
+	changed          chan struct{}
+	closed           error // reason why this end is closed; nil while it is open
+	partitionedSince time.Time
+	partitioned      bool // whether either direction is blocked, since partitionedSince
+	timeoutScheduled bool // a timer that calls checkTimeout is running
 }
 
 type address string
@@ -54,100 +54,101 @@
 func (address) Network() string  { return "tcp" }
 func (a address) String() string { return string(a) }
 
-func (e *conn) LocalAddr() net.Addr  { return e.local }
-func (e *conn) RemoteAddr() net.Addr { return e.remote }
+func (c *conn) LocalAddr() net.Addr  { return c.local }
+func (c *conn) RemoteAddr() net.Addr { return c.remote }
 
-func (e *conn) SetDeadline(t time.Time) error    { return e.SetReadDeadline(t) }
-func (e *conn) SetWriteDeadline(time.Time) error { return nil } // no write waits
+func (c *conn) SetDeadline(t time.Time) error    { return c.SetReadDeadline(t) }
+func (c *conn) SetWriteDeadline(time.Time) error { return nil } // writes never block
 
-func (e *conn) SetReadDeadline(t time.Time) error {
-	e.network.mutex.Lock()
-	defer e.network.mutex.Unlock()
-	e.deadline = t
-	e.notify()
+func (c *conn) SetReadDeadline(t time.Time) error {
+	c.network.mutex.Lock()
+	defer c.network.mutex.Unlock()
+	c.deadline = t
+	c.signalChange()
 	return nil
 }
 
-func (e *conn) notify() {
+func (c *conn) signalChange() {
 	select {
-	case e.wake <- struct{}{}:
+	case c.changed <- struct{}{}:
 	default:
 	}
 }
 
-// Read waits for bytes, the connection's end or the deadline, and while the process is frozen.
-func (e *conn) Read(buffer []byte) (int, error) {
+// Read blocks until bytes arrive, the connection ends or the deadline passes, and while the process is frozen.
+func (c *conn) Read(buffer []byte) (int, error) {
 	for {
-		if !e.process.Await() {
+		if !c.process.Await() {
 			return 0, net.ErrClosed
 		}
-		count, wait, err := e.take(buffer)
+		count, wait, err := c.readArrived(buffer)
 		if count > 0 || err != nil {
 			return count, err
 		}
-		e.await(wait)
+		c.waitForChange(wait)
 	}
 }
 
-// await returns when something may have changed, or after a time; 0: only then.
-func (e *conn) await(wait time.Duration) {
+// waitForChange returns when the state of this end may have changed, or after the given time. Without a positive time it waits
+// for a change only.
+func (c *conn) waitForChange(wait time.Duration) {
 	if wait <= 0 {
-		<-e.wake
+		<-c.changed
 		return
 	}
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	select {
-	case <-e.wake:
+	case <-c.changed:
 	case <-timer.C:
 	}
 }
 
-// take returns what has arrived, or an error, or how long to wait.
-func (e *conn) take(buffer []byte) (count int, wait time.Duration, err error) {
-	e.network.mutex.Lock()
-	defer e.network.mutex.Unlock()
+// readArrived copies bytes that have arrived into buffer. If there are none it returns an error or how long to wait.
+func (c *conn) readArrived(buffer []byte) (count int, wait time.Duration, err error) {
+	c.network.mutex.Lock()
+	defer c.network.mutex.Unlock()
 	now := time.Now()
 	switch {
-	case e.closed != nil:
-		return 0, 0, e.closed
-	case !e.deadline.IsZero() && !now.Before(e.deadline):
+	case c.closed != nil:
+		return 0, 0, c.closed
+	case !c.deadline.IsZero() && !now.Before(c.deadline):
 		return 0, 0, os.ErrDeadlineExceeded
 	}
-	if len(e.inbox) == 0 || e.inbox[0].delayed || e.inbox[0].at.After(now) {
-		return 0, e.wait(now), nil
+	if len(c.inbox) == 0 || c.inbox[0].delayed || c.inbox[0].arrival.After(now) {
+		return 0, c.nextWait(now), nil
 	}
-	first := &e.inbox[0]
-	if first.finish != nil {
-		return 0, 0, first.finish
+	first := &c.inbox[0]
+	if first.end != nil {
+		return 0, 0, first.end
 	}
 	count = copy(buffer, first.data)
 	first.data = first.data[count:]
 	if len(first.data) == 0 {
-		e.inbox = e.inbox[1:]
+		c.inbox = c.inbox[1:]
 	}
 	return count, 0, nil
 }
 
-// wait returns how long until the next segment or the deadline; 0: neither is known.
-func (e *conn) wait(now time.Time) time.Duration {
+// nextWait returns the time until the next segment arrives or the deadline passes, or 0 if neither is known.
+func (c *conn) nextWait(now time.Time) time.Duration {
 	var wait time.Duration
-	if !e.deadline.IsZero() {
-		wait = e.deadline.Sub(now)
+	if !c.deadline.IsZero() {
+		wait = c.deadline.Sub(now)
 	}
-	if len(e.inbox) > 0 && !e.inbox[0].delayed {
-		if next := e.inbox[0].at.Sub(now); wait == 0 || next < wait {
+	if len(c.inbox) > 0 && !c.inbox[0].delayed {
+		if next := c.inbox[0].arrival.Sub(now); wait == 0 || next < wait {
 			wait = next
 		}
 	}
 	return wait
 }
 
-// Write sends bytes. It does not wait: what a process sends while it is frozen goes out when it is thawed.
-func (e *conn) Write(data []byte) (int, error) {
-	e.network.mutex.Lock()
-	closed := e.closed
-	e.network.mutex.Unlock()
+// Write sends bytes without blocking. Data that is written while the process is frozen is sent when it is thawed.
+func (c *conn) Write(data []byte) (int, error) {
+	c.network.mutex.Lock()
+	closed := c.closed
+	c.network.mutex.Unlock()
 	if closed != nil {
 		return 0, closed
 	}
@@ -155,223 +156,225 @@
 		return 0, nil
 	}
 	copied := append([]byte(nil), data...)
-	e.process.send(func() {
-		e.network.mutex.Lock()
-		defer e.network.mutex.Unlock()
-		if e.closed == nil {
-			e.transmit(segment{data: copied})
+	c.process.send(func() {
+		c.network.mutex.Lock()
+		defer c.network.mutex.Unlock()
+		if c.closed == nil {
+			c.transmit(segment{data: copied})
 		}
 	})
 	return len(data), nil
 }
 
-// transmit sends a segment to the peer. The caller holds the mutex, as for all that follows.
-func (e *conn) transmit(one segment) {
+// transmit sends a segment to the peer. The caller holds the mutex of the network, as for all functions below that do not lock it.
+func (c *conn) transmit(sent segment) {
 	now := time.Now()
-	e.sent++
-	blocked := e.network.blocked(e.path)
-	if e.peer.closed != nil {
-		if !blocked && !e.network.blocked(e.path.reverse()) && one.finish == nil {
-			e.resetLater(2 * e.network.delay(e.path, e.stream, e.sent))
+	c.segmentsSent++
+	blocked := c.network.blocked(c.path)
+	if c.peer.closed != nil {
+		if !blocked && !c.network.blocked(c.path.reverse()) && sent.end == nil {
+			c.resetLater(2 * c.network.delay(c.path, c.stream, c.segmentsSent))
 		} else {
-			e.scheduleTimeout(userTimeout)
+			c.scheduleTimeout(userTimeout)
 		}
 		return
 	}
-	one.delayed = blocked
-	one.at = now.Add(e.network.delay(e.path, e.stream, e.sent))
-	e.peer.arrive(one)
-	if e.cut {
-		e.scheduleTimeout(userTimeout)
+	sent.delayed = blocked
+	sent.arrival = now.Add(c.network.delay(c.path, c.stream, c.segmentsSent))
+	c.peer.enqueue(sent)
+	if c.partitioned {
+		c.scheduleTimeout(userTimeout)
 	}
 }
 
-// arrive queues a segment behind those before it.
-func (e *conn) arrive(one segment) {
-	if len(e.inbox) > 0 {
-		before := e.inbox[len(e.inbox)-1]
-		if before.finish != nil {
+// enqueue adds a segment to the inbox of this end, after all segments that are already queued.
+func (c *conn) enqueue(sent segment) {
+	if len(c.inbox) > 0 {
+		before := c.inbox[len(c.inbox)-1]
+		if before.end != nil {
 			return
 		}
-		if !one.at.After(before.at) {
-			one.at = before.at.Add(1)
+		if !sent.arrival.After(before.arrival) {
+			sent.arrival = before.arrival.Add(1)
 		}
-		one.delayed = one.delayed || before.delayed
+		sent.delayed = sent.delayed || before.delayed
 	}
-	e.inbox = append(e.inbox, one)
-	if len(e.inbox) == 1 {
-		e.notify()
+	c.inbox = append(c.inbox, sent)
+	if len(c.inbox) == 1 {
+		c.signalChange()
 	}
 }
 
-func (e *conn) resetLater(after time.Duration) {
+// resetLater resets this end after the given time.
+func (c *conn) resetLater(after time.Duration) {
 	time.AfterFunc(after, func() {
-		e.network.mutex.Lock()
-		defer e.network.mutex.Unlock()
-		if e.closed == nil {
-			e.fail(errReset)
+		c.network.mutex.Lock()
+		defer c.network.mutex.Unlock()
+		if c.closed == nil {
+			c.fail(errReset)
 		}
 	})
 }
 
-// updateCut applies that paths were opened or blocked.
-func (e *conn) updateCut(now time.Time) {
-	forward, back := e.network.blocked(e.path), e.network.blocked(e.path.reverse())
-	cut := forward || back
-	if cut && !e.cut {
-		e.since = now
+// updatePartition updates this end after paths were opened or blocked.
+func (c *conn) updatePartition(now time.Time) {
+	forward, back := c.network.blocked(c.path), c.network.blocked(c.path.reverse())
+	partitioned := forward || back
+	if partitioned && !c.partitioned {
+		c.partitionedSince = now
 	}
-	e.cut = cut
-	e.delayInbox(e.network.blockedInFlight(e.path.reverse()), now)
-	if cut && e.closed == nil {
-		e.scheduleTimeout(userTimeout)
+	c.partitioned = partitioned
+	c.delayInbox(c.network.blockedInFlight(c.path.reverse()), now)
+	if partitioned && c.closed == nil {
+		c.scheduleTimeout(userTimeout)
 	}
 }
 
-// delayInbox delays the segments that have not arrived, or releases them.
-func (e *conn) delayInbox(blocked bool, now time.Time) {
-	for i := range e.inbox {
-		one := &e.inbox[i]
+// delayInbox holds back the segments that have not arrived yet, or releases those held back.
+func (c *conn) delayInbox(blocked bool, now time.Time) {
+	for i := range c.inbox {
+		queued := &c.inbox[i]
 		switch {
-		case blocked && one.at.After(now):
-			one.delayed = true
-		case !blocked && one.delayed:
-			one.delayed = false
-			one.at = now.Add(e.network.delay(e.path.reverse(), e.stream, uint64(i)) + time.Duration(i))
+		case blocked && queued.arrival.After(now):
+			queued.delayed = true
+		case !blocked && queued.delayed:
+			queued.delayed = false
+			queued.arrival = now.Add(c.network.delay(c.path.reverse(), c.stream, uint64(i)) + time.Duration(i))
 		}
 	}
-	e.notify()
+	c.signalChange()
 }
 
-// scheduleTimeout checks after a time whether the connection has timed out.
-func (e *conn) scheduleTimeout(after time.Duration) {
-	if e.timeoutScheduled {
+// scheduleTimeout calls checkTimeout after the given time, unless such a call is already scheduled.
+func (c *conn) scheduleTimeout(after time.Duration) {
+	if c.timeoutScheduled {
 		return
 	}
-	e.timeoutScheduled = true
+	c.timeoutScheduled = true
 	time.AfterFunc(after, func() {
-		e.network.mutex.Lock()
-		defer e.network.mutex.Unlock()
-		e.timeoutScheduled = false
-		if e.closed == nil {
-			e.checkTimeout(time.Now())
+		c.network.mutex.Lock()
+		defer c.network.mutex.Unlock()
+		c.timeoutScheduled = false
+		if c.closed == nil {
+			c.checkTimeout(time.Now())
 		}
 	})
 }
 
-// checkTimeout fails a connection whose bytes are not acknowledged, or whose peer is gone.
-func (e *conn) checkTimeout(now time.Time) {
-	cutFor := now.Sub(e.since)
+// checkTimeout fails this end if its bytes were not acknowledged in time or its peer is gone.
+func (c *conn) checkTimeout(now time.Time) {
+	duration := now.Sub(c.partitionedSince)
 	switch {
-	case e.cut && cutFor >= keepaliveTimeout, e.cut && cutFor >= userTimeout && e.unacknowledged():
-		e.fail(errTimeout)
-	case e.cut:
-		e.scheduleTimeout(max(userTimeout-cutFor, 0) + time.Millisecond*50)
-	case e.peer.closed != nil && !e.notified():
-		e.fail(errReset)
+	case c.partitioned && duration >= keepaliveTimeout, c.partitioned && duration >= userTimeout && c.unacknowledged():
+		c.fail(errTimeout)
+	case c.partitioned:
+		c.scheduleTimeout(max(userTimeout-duration, 0) + time.Millisecond*50)
+	case c.peer.closed != nil && !c.closeQueued():
+		c.fail(errReset)
 	}
 }
 
-// unacknowledged reports whether bytes that this end has sent wait for an acknowledgement.
-func (e *conn) unacknowledged() bool {
-	if e.peer.closed != nil {
+// unacknowledged reports whether bytes sent by this end have not been acknowledged.
+func (c *conn) unacknowledged() bool {
+	if c.peer.closed != nil {
 		return true
 	}
-	for _, one := range e.peer.inbox {
-		if one.delayed {
+	for _, queued := range c.peer.inbox {
+		if queued.delayed {
 			return true
 		}
 	}
-	return e.network.blocked(e.path.reverse()) && e.sent > 0
+	return c.network.blocked(c.path.reverse()) && c.segmentsSent > 0
 }
 
-// notified reports whether the peer's close is on its way to this end.
-func (e *conn) notified() bool {
-	return len(e.inbox) > 0 && e.inbox[len(e.inbox)-1].finish != nil
+// closeQueued reports whether the end of the stream is in flight to this end.
+func (c *conn) closeQueued() bool {
+	return len(c.inbox) > 0 && c.inbox[len(c.inbox)-1].end != nil
 }
 
-// fail ends the connection at this end, and resets the peer if that can be reached.
-func (e *conn) fail(reason error) {
-	e.dropDelayed()
-	e.forget(reason)
-	if e.peer.closed != nil {
+// fail closes this end and resets the peer if it is reachable.
+func (c *conn) fail(reason error) {
+	c.dropDelayed()
+	c.detach(reason)
+	if c.peer.closed != nil {
 		return
 	}
-	if e.network.blocked(e.path) {
-		e.peer.scheduleTimeout(keepaliveTimeout)
+	if c.network.blocked(c.path) {
+		c.peer.scheduleTimeout(keepaliveTimeout)
 		return
 	}
-	e.peer.resetLater(e.network.delay(e.path, e.stream, e.sent))
+	c.peer.resetLater(c.network.delay(c.path, c.stream, c.segmentsSent))
 }
 
-// dropDelayed drops the segments of this end that a cut delays.
-func (e *conn) dropDelayed() {
-	for i, one := range e.peer.inbox {
-		if one.delayed {
-			e.peer.inbox = e.peer.inbox[:i]
+// dropDelayed drops the segments sent by this end that a partition holds back.
+func (c *conn) dropDelayed() {
+	for i, queued := range c.peer.inbox {
+		if queued.delayed {
+			c.peer.inbox = c.peer.inbox[:i]
 			return
 		}
 	}
 }
 
-func (e *conn) forget(reason error) {
-	e.closed = reason
-	e.inbox = nil
-	delete(e.network.conns, e)
-	delete(e.process.conns, e)
-	e.notify()
+// detach closes this end with the given reason and removes it from its network and process.
+func (c *conn) detach(reason error) {
+	c.closed = reason
+	c.inbox = nil
+	delete(c.network.conns, c)
+	delete(c.process.conns, c)
+	c.signalChange()
 }
 
-// Close ends the connection: what was sent still arrives, if no cut holds it up for too long.
-func (e *conn) Close() error {
-	e.network.mutex.Lock()
-	defer e.network.mutex.Unlock()
-	e.close()
+// Close closes this end. Data already sent still arrives unless a partition holds it back for longer than userTimeout.
+func (c *conn) Close() error {
+	c.network.mutex.Lock()
+	defer c.network.mutex.Unlock()
+	c.close()
 	return nil
 }
 
-func (e *conn) close() {
-	if e.closed != nil {
+func (c *conn) close() {
+	if c.closed != nil {
 		return
 	}
-	finish := io.EOF
-	if len(e.inbox) > 0 && e.inbox[0].finish == nil {
-		finish = errReset // unread bytes
+	end := io.EOF
+	if len(c.inbox) > 0 && c.inbox[0].end == nil {
+		end = errReset // as TCP does if received data was not read
 	}
-	e.forget(net.ErrClosed)
-	if e.peer.closed != nil {
+	c.detach(net.ErrClosed)
+	if c.peer.closed != nil {
 		return
 	}
-	e.sent++
-	e.peer.arrive(segment{
-		at: time.Now().Add(e.network.delay(e.path, e.stream, e.sent)), delayed: e.network.blocked(e.path), finish: finish,
+	c.segmentsSent++
+	c.peer.enqueue(segment{
+		arrival: time.Now().Add(c.network.delay(c.path, c.stream, c.segmentsSent)), delayed: c.network.blocked(c.path), end: end,
 	})
-	if e.cut {
-		e.dropLater()
+	if c.partitioned {
+		c.scheduleDrop()
 	}
-	e.peer.scheduleTimeout(keepaliveTimeout)
+	c.peer.scheduleTimeout(keepaliveTimeout)
 }
 
-// dropLater loses what a closed end has sent if a cut holds it up for too long.
-func (e *conn) dropLater() {
-	since := e.since
+// scheduleDrop drops data sent by this closed end if a partition still holds it back after userTimeout.
+func (c *conn) scheduleDrop() {
+	since := c.partitionedSince
 	time.AfterFunc(userTimeout, func() {
-		e.network.mutex.Lock()
-		defer e.network.mutex.Unlock()
-		if e.peer.closed == nil && e.peer.cut && !e.peer.since.After(since) {
-			e.dropDelayed()
+		c.network.mutex.Lock()
+		defer c.network.mutex.Unlock()
+		if c.peer.closed == nil && c.peer.partitioned && !c.peer.partitionedSince.After(since) {
+			c.dropDelayed()
 		}
 	})
 }
 
-// abandon ends the connection without notice, as a loss of power does.
-func (e *conn) abandon() {
-	if e.closed != nil {
+// closeSilently closes this end without notice to the peer, as a power loss does.
+func (c *conn) closeSilently() {
+	if c.closed != nil {
 		return
 	}
-	e.dropDelayed()
-	e.forget(errVanished)
-	if e.peer.closed == nil {
-		e.peer.scheduleTimeout(keepaliveTimeout)
+	c.dropDelayed()
+	c.detach(errPowerLost)
+	if c.peer.closed == nil {
+		c.peer.scheduleTimeout(keepaliveTimeout)
 	}
 }
--- a/internal/testkit/controlplanesim/simnet/listener.go
+++ b/internal/testkit/controlplanesim/simnet/listener.go
@@ -10,23 +10,23 @@
 	"time"
 )
 
-// maxRetryDelay is the longest pause before an opening packet is sent again after a cut.
+// maxRetryDelay bounds the delay before a SYN is sent again after a partition heals.
 const maxRetryDelay = 400 * time.Millisecond
 
 var errRefused = os.NewSyscallError("connect", syscall.ECONNREFUSED)
 
-// listener is an open port of a process. The network's mutex guards it.
+// listener is a listening port of a process. It is guarded by the mutex of the network.
 type listener struct {
 	network *Network
 	process *Process
 	key     string
 	local   address
 	backlog []*conn
-	wake    chan struct{}
+	changed chan struct{}
 	closed  bool
 }
 
-// Listen opens a port, "ip:port", of the process's machine.
+// Listen opens the given port, as "ip:port", on the machine of the process.
 func (p *Process) Listen(_ context.Context, at string) (net.Listener, error) {
 	n := p.network
 	n.mutex.Lock()
@@ -35,13 +35,13 @@
 	if n.listeners[key] != nil {
 		return nil, fmt.Errorf("simnet: %s: %w", at, syscall.EADDRINUSE)
 	}
-	made := &listener{network: n, process: p, key: key, local: address(at), wake: make(chan struct{}, 1)}
-	n.listeners[key] = made
-	p.listeners[made] = struct{}{}
-	return made, nil
+	opened := &listener{network: n, process: p, key: key, local: address(at), changed: make(chan struct{}, 1)}
+	n.listeners[key] = opened
+	p.listeners[opened] = struct{}{}
+	return opened, nil
 }
 
-// key distinguishes ports on loopback of different machines.
+// key returns the key of an address in Network.listeners. Loopback addresses include the host, since each machine has its own.
 func (p *Process) key(at string) string {
 	if strings.HasPrefix(at, loopback+":") {
 		return p.host + "/" + at
@@ -49,27 +49,29 @@
 	return at
 }
 
-// Addr returns the address that was opened.
+// Addr returns the address that the listener was opened with.
 func (l *listener) Addr() net.Addr { return l.local }
 
-// Accept waits for a connection, and while the process is frozen.
+// Accept blocks until a connection arrives, and while the process is frozen.
 func (l *listener) Accept() (net.Conn, error) {
 	for {
 		if !l.process.Await() {
 			return nil, net.ErrClosed
 		}
-		accepted, closed := l.acceptNext()
+		accepted, closed := l.popBacklog()
 		switch {
 		case closed:
 			return nil, net.ErrClosed
 		case accepted != nil:
 			return accepted, nil
 		}
-		<-l.wake
+		<-l.changed
 	}
 }
 
-func (l *listener) acceptNext() (accepted *conn, closed bool) {
+// popBacklog removes and returns the first connection of the backlog. It returns nil if there is none, and whether the listener is
+// closed.
+func (l *listener) popBacklog() (accepted *conn, closed bool) {
 	l.network.mutex.Lock()
 	defer l.network.mutex.Unlock()
 	if l.closed {
@@ -83,7 +85,7 @@
 	return accepted, false
 }
 
-// Close closes the port; connections that nobody has accepted are reset.
+// Close closes the port and resets connections that were not accepted.
 func (l *listener) Close() error {
 	l.network.mutex.Lock()
 	defer l.network.mutex.Unlock()
@@ -105,12 +107,12 @@
 	}
 	l.backlog = nil
 	select {
-	case l.wake <- struct{}{}:
+	case l.changed <- struct{}{}:
 	default:
 	}
 }
 
-// Dial opens a connection to a port, "ip:port". Behind a cut it waits until that ends or ctx does.
+// Dial opens a connection to a port, as "ip:port". During a partition it blocks until the partition heals or ctx ends.
 func (p *Process) Dial(ctx context.Context, to string) (net.Conn, error) {
 	host, _, err := net.SplitHostPort(to)
 	if err != nil {
@@ -120,25 +122,25 @@
 		host = p.host
 	}
 	path := Path{From: p.host, To: host}
-	if err := p.reach(ctx, path); err != nil {
+	if err := p.waitReachable(ctx, path); err != nil {
 		return nil, err
 	}
-	made, err := p.connect(path, to)
+	opened, err := p.connect(path, to)
 	if err != nil {
 		return nil, err
 	}
 	if !Sleep(ctx, p.network.Delay(path.reverse())) {
-		_ = made.Close()
+		_ = opened.Close()
 		return nil, context.Cause(ctx)
 	}
 	if !p.Await() {
 		return nil, net.ErrClosed
 	}
-	return made, nil
+	return opened, nil
 }
 
-// reach waits until an opening packet has arrived at the other machine and the answer can arrive.
-func (p *Process) reach(ctx context.Context, path Path) error {
+// waitReachable blocks until a SYN has reached the other machine and its answer can return.
+func (p *Process) waitReachable(ctx context.Context, path Path) error {
 	for {
 		if !p.Await() {
 			return net.ErrClosed
@@ -163,7 +165,7 @@
 	}
 }
 
-// connect joins a new connection to the port's backlog.
+// connect creates a connection and adds it to the backlog of the port.
 func (p *Process) connect(path Path, to string) (*conn, error) {
 	n := p.network
 	n.mutex.Lock()
@@ -172,26 +174,26 @@
 	if port == nil || p.Dead() {
 		return nil, errRefused
 	}
-	n.opened++
-	here := &conn{network: n, process: p, path: path, local: address(path.From), remote: address(to), stream: 2 * n.opened, wake: make(chan struct{}, 1)}
+	n.lastStream++
+	here := &conn{network: n, process: p, path: path, local: address(path.From), remote: address(to), stream: 2 * n.lastStream, changed: make(chan struct{}, 1)}
 	there := &conn{
 		network: n, process: port.process, path: path.reverse(), local: address(to), remote: address(path.From),
-		stream: 2*n.opened + 1, wake: make(chan struct{}, 1),
+		stream: 2*n.lastStream + 1, changed: make(chan struct{}, 1),
 	}
 	here.peer, there.peer = there, here
-	for _, one := range []*conn{here, there} {
-		n.conns[one] = struct{}{}
-		one.process.conns[one] = struct{}{}
+	for _, end := range []*conn{here, there} {
+		n.conns[end] = struct{}{}
+		end.process.conns[end] = struct{}{}
 	}
 	port.backlog = append(port.backlog, there)
 	select {
-	case port.wake <- struct{}{}:
+	case port.changed <- struct{}{}:
 	default:
 	}
 	return here, nil
 }
 
-// Sleep waits for a time and returns true, or returns false once ctx has ended.
+// Sleep waits for the given duration and returns true, or returns false as soon as ctx ends.
 func Sleep(ctx context.Context, duration time.Duration) bool {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
--- a/internal/testkit/controlplanesim/simnet/network.go
+++ b/internal/testkit/controlplanesim/simnet/network.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// Path is a direction between two machines, by their IPs.
+// Path is a direction between two machines, given by their IPs.
 type Path struct{ From, To string }
 
-// Delays of a link.
+// Delays of a link; loopback is the address of the machine itself.
 const (
 	minDelay      = 300 * time.Microsecond
 	delaySpread   = 1500 * time.Microsecond
@@ -21,18 +21,18 @@
 type Network struct {
 	seed uint64
 
-	mutex     sync.Mutex
-	cuts      map[int]func(Path) bool // what blocks a path
-	delays    map[int]func(Path) time.Duration
-	lastRule  int             // number of the last cut or slow-down
-	powerless map[string]bool // machines that are off
-	listeners map[string]*listener
-	conns     map[*conn]struct{}
-	opened    uint64
-	changed   chan struct{} // closed when paths change
+	mutex      sync.Mutex
+	cuts       map[int]func(Path) bool          // rules that block paths
+	delays     map[int]func(Path) time.Duration // rules that delay paths
+	lastRule   int                              // number of the last rule in cuts or delays
+	powerless  map[string]bool                  // machines that are switched off
+	listeners  map[string]*listener
+	conns      map[*conn]struct{}
+	lastStream uint64        // number of the last stream or single packet, which seeds its delays
+	changed    chan struct{} // closed and replaced when paths open or close
 }
 
-// New returns a network whose delays are drawn from the seed.
+// New returns a network whose delays are derived from the seed.
 func New(seed uint64) *Network {
 	return &Network{
 		seed: seed, cuts: make(map[int]func(Path) bool), delays: make(map[int]func(Path) time.Duration),
@@ -41,7 +41,7 @@
 	}
 }
 
-// Cut blocks all paths for which the function holds, until heal is called.
+// Cut blocks all paths for which blocks returns true, until heal is called.
 func (n *Network) Cut(blocks func(Path) bool) (heal func()) {
 	n.mutex.Lock()
 	n.lastRule++
@@ -51,7 +51,7 @@
 	return func() { n.update(func() { delete(n.cuts, number) }) }
 }
 
-// Slow adds a delay to paths, until heal is called.
+// Slow adds a random delay to each path until heal is called: between half and one and a half times what the function returns.
 func (n *Network) Slow(delay func(Path) time.Duration) (heal func()) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -65,23 +65,23 @@
 	}
 }
 
-// SetPower switches a machine on or off. Nothing reaches one that is off, and it refuses nothing.
+// SetPower switches a machine on or off. Nothing reaches a machine that is off, and it does not refuse connections either.
 func (n *Network) SetPower(host string, on bool) {
 	n.update(func() { n.powerless[host] = !on })
 }
 
-// Reset resets the connections that run along a path for which the function holds, in either direction.
+// Reset resets the connections for which along returns true for the path in either direction.
 func (n *Network) Reset(along func(Path) bool) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	for one := range n.conns {
-		if one.closed == nil && (along(one.path) || along(one.path.reverse())) {
-			one.fail(errReset)
+	for end := range n.conns {
+		if end.closed == nil && (along(end.path) || along(end.path.reverse())) {
+			end.fail(errReset)
 		}
 	}
 }
 
-// Open reports whether something that is sent now along the path gets there.
+// Open reports whether data that is sent along the path now arrives.
 func (n *Network) Open(path Path) bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -95,17 +95,17 @@
 	return n.changed
 }
 
-// Delay draws the delay of the next thing that goes along a path.
+// Delay draws the delay of a single packet along the path.
 func (n *Network) Delay(path Path) time.Duration {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.opened++
-	return n.delay(path, n.opened, 0)
+	n.lastStream++
+	return n.delay(path, n.lastStream, 0)
 }
 
 func (p Path) reverse() Path { return Path{From: p.To, To: p.From} }
 
-// blocked reports whether a path is cut. The caller holds the mutex.
+// blocked reports whether the path is cut or one of its machines is switched off. The caller holds the mutex.
 func (n *Network) blocked(path Path) bool {
 	if n.powerless[path.From] || n.powerless[path.To] {
 		return true
@@ -121,8 +121,8 @@
 	return false
 }
 
-// blockedInFlight reports whether what is on its way along a path does not arrive: the path is cut, or its end has no power. A
-// sender's loss of power does not hold up what it has sent before. The caller holds the mutex.
+// blockedInFlight reports whether data in flight along the path does not arrive because the path is cut or the receiver is switched
+// off. Data that a sender sent before it lost power still arrives. The caller holds the mutex.
 func (n *Network) blockedInFlight(path Path) bool {
 	if n.powerless[path.To] {
 		return true
@@ -138,7 +138,8 @@
 	return false
 }
 
-// delay draws how long one segment takes. The caller holds the mutex.
+// delay draws the delay of one segment. It depends only on the seed, the path, the stream, the number and the rules in delays. The
+// caller holds the mutex.
 func (n *Network) delay(path Path, stream, number uint64) time.Duration {
 	drawn := mix(n.seed ^ mix(hash(path.From)) ^ mix(hash(path.To)+1) ^ mix(stream<<20+number))
 	if path.From == path.To {
@@ -146,8 +147,8 @@
 	}
 	delay := minDelay + time.Duration(drawn%uint64(delaySpread))
 	for _, slow := range n.delays {
-		if most := slow(path); most > 0 {
-			delay += most/2 + time.Duration(mix(drawn)%uint64(most))
+		if added := slow(path); added > 0 {
+			delay += added/2 + time.Duration(mix(drawn)%uint64(added))
 		}
 	}
 	return delay
@@ -159,25 +160,25 @@
 	defer n.mutex.Unlock()
 	change()
 	now := time.Now()
-	for one := range n.conns {
-		one.updateCut(now)
+	for end := range n.conns {
+		end.updatePartition(now)
 	}
 	close(n.changed)
 	n.changed = make(chan struct{})
 }
 
-// release closes all connections and listeners of a process.
-func (n *Network) release(p *Process, silent bool) {
+// closeProcess closes all connections and listeners of a process. If silent is true its peers receive no notice.
+func (n *Network) closeProcess(p *Process, silent bool) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	for one := range p.listeners {
-		one.close()
+	for port := range p.listeners {
+		port.close()
 	}
-	for one := range p.conns {
+	for end := range p.conns {
 		if silent {
-			one.abandon()
+			end.closeSilently()
 		} else {
-			one.close()
+			end.close()
 		}
 	}
 }
@@ -188,7 +189,7 @@
 	return h.Sum64()
 }
 
-// mix spreads the bits of a value (the finalizer of splitmix64).
+// mix scrambles the bits of a value; it is one step of splitmix64.
 func mix(value uint64) uint64 {
 	value += 0x9e3779b97f4a7c15
 	value = (value ^ value>>30) * 0xbf58476d1ce4e5b9
--- a/internal/testkit/controlplanesim/simnet/network_test.go
+++ b/internal/testkit/controlplanesim/simnet/network_test.go
@@ -15,15 +15,15 @@
 	portB        = hostB + ":7000"
 )
 
-// pair returns two connected ends and their processes.
-func pair(t *testing.T, n *Network) (a, b net.Conn, one, other *Process) {
+// pair returns the two ends of a connection between hostA and hostB, and their processes.
+func pair(t *testing.T, n *Network) (a, b net.Conn, first, second *Process) {
 	t.Helper()
-	one, other = n.NewProcess(hostA), n.NewProcess(hostB)
-	port, err := other.Listen(t.Context(), portB)
+	first, second = n.NewProcess(hostA), n.NewProcess(hostB)
+	port, err := second.Listen(t.Context(), portB)
 	if err != nil {
 		t.Fatal(err)
 	}
-	a, err = one.Dial(t.Context(), portB)
+	a, err = first.Dial(t.Context(), portB)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -31,16 +31,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return a, b, one, other
+	return a, b, first, second
 }
 
-// receive reads a text, and returns how long that took.
+// receive reads the wanted text and returns how long that took.
 func receive(t *testing.T, from net.Conn, want string) time.Duration {
 	t.Helper()
 	began := time.Now()
 	buffer := make([]byte, len(want))
 	if _, err := io.ReadFull(from, buffer); err != nil || string(buffer) != want {
-		t.Fatalf("read %q, %v; want %q", buffer, err, want)
+		t.Fatalf("read got %q and error %v, want %q", buffer, err, want)
 	}
 	return time.Since(began)
 }
@@ -52,8 +52,8 @@
 	}
 }
 
-func between(one, other string) func(Path) bool {
-	return func(p Path) bool { return p == Path{one, other} || p == Path{other, one} }
+func between(first, second string) func(Path) bool {
+	return func(p Path) bool { return p == Path{first, second} || p == Path{second, first} }
 }
 
 func TestConn_bytesArriveInOrder(t *testing.T) {
@@ -64,13 +64,13 @@
 			write(t, a, "cd")
 		}
 		if took := receive(t, b, "abcdabcd"); took < minDelay {
-			t.Errorf("arrived after %v", took)
+			t.Errorf("first bytes arrived after %v, want at least %v", took, minDelay)
 		}
 		receive(t, b, "abcdabcdabcdabcd")
 		_ = a.Close()
 		rest, err := io.ReadAll(b)
 		if err != nil || len(rest) != 80-24 {
-			t.Fatalf("%d bytes, %v", len(rest), err)
+			t.Fatalf("ReadAll after Close got %d bytes and error %v, want %d bytes", len(rest), err, 80-24)
 		}
 	})
 }
@@ -83,17 +83,17 @@
 		write(t, a, "held")
 		time.AfterFunc(time.Second, heal)
 		if took := receive(t, b, "held"); took < time.Second {
-			t.Errorf("through the cut after %v", took)
+			t.Errorf("bytes arrived after %v, want at least 1s because of the cut", took)
 		}
 		heal = n.Cut(between(hostA, hostB))
 		write(t, a, "lost")
 		time.Sleep(2 * time.Second)
 		if _, err := a.Write([]byte("x")); err == nil {
-			t.Error("the sender does not notice the cut")
+			t.Error("Write after 2s of a cut succeeded, want a timeout error")
 		}
 		heal()
 		if _, err := io.ReadAll(b); err == nil {
-			t.Error("bytes of a sender that gave up arrived, or the connection ended in order")
+			t.Error("ReadAll succeeded after the sender timed out, want an error")
 		}
 	})
 }
@@ -108,7 +108,7 @@
 		write(t, a, "held")
 		_ = b.SetReadDeadline(time.Now().Add(time.Second))
 		if _, err := b.Read(make([]byte, 4)); err == nil {
-			t.Error("bytes came through the cut")
+			t.Error("Read received bytes along a blocked path")
 		}
 	})
 }
@@ -116,21 +116,21 @@
 func TestProcess_Dial(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := New(4)
-		_, _, one, other := pair(t, n)
+		_, _, first, second := pair(t, n)
 		heal := n.Cut(between(hostA, hostB))
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		began := time.Now()
-		if _, err := one.Dial(ctx, portB); !errors.Is(err, context.DeadlineExceeded) || time.Since(began) != time.Second {
-			t.Errorf("%v after %v", err, time.Since(began))
+		if _, err := first.Dial(ctx, portB); !errors.Is(err, context.DeadlineExceeded) || time.Since(began) != time.Second {
+			t.Errorf("Dial during a cut returned error %v after %v, want the context deadline after 1s", err, time.Since(began))
 		}
 		heal()
-		if _, err := one.Dial(t.Context(), portB); err != nil {
-			t.Error(err)
+		if _, err := first.Dial(t.Context(), portB); err != nil {
+			t.Errorf("Dial after the cut was healed: %v", err)
 		}
-		other.Kill()
-		if _, err := one.Dial(t.Context(), portB); !errors.Is(err, errRefused) {
-			t.Error(err)
+		second.Kill()
+		if _, err := first.Dial(t.Context(), portB); !errors.Is(err, errRefused) {
+			t.Errorf("Dial to a killed process returned error %v, want %v", err, errRefused)
 		}
 	})
 }
@@ -138,23 +138,23 @@
 func TestProcess_killAndPowerLoss(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := New(5)
-		a, _, _, other := pair(t, n)
-		other.Kill()
+		a, _, _, second := pair(t, n)
+		second.Kill()
 		if _, err := a.Read(make([]byte, 1)); err == nil {
-			t.Error("the peer lives")
+			t.Error("Read after the peer was killed succeeded, want an error")
 		}
 		n = New(6)
-		a, _, _, other = pair(t, n)
-		other.LosePower()
+		a, _, _, second = pair(t, n)
+		second.LosePower()
 		n.SetPower(hostB, false)
 		_ = a.SetReadDeadline(time.Now().Add(time.Second))
 		if _, err := a.Read(make([]byte, 1)); err == nil || !errors.Is(err, context.DeadlineExceeded) && !isTimeout(err) {
-			t.Errorf("a machine without power says %v", err)
+			t.Errorf("Read from a machine without power returned error %v, want a timeout", err)
 		}
 		_ = a.SetReadDeadline(time.Time{})
 		write(t, a, "x")
 		if _, err := a.Read(make([]byte, 1)); !errors.Is(err, errTimeout) {
-			t.Errorf("%v", err)
+			t.Errorf("Read after a write to a machine without power returned error %v, want %v", err, errTimeout)
 		}
 	})
 }
@@ -166,22 +166,22 @@
 
 func TestProcess_Freeze(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		a, b, one, other := pair(t, New(7))
-		other.Freeze()
+		a, b, first, second := pair(t, New(7))
+		second.Freeze()
 		write(t, a, "early")
-		write(t, b, "answer") // by code that had not noticed yet
-		if !one.Await() {
-			t.Fatal("the other process is dead")
+		write(t, b, "answer") // sent by code that runs before it notices the freeze
+		if !first.Await() {
+			t.Fatal("Await of the process that was not frozen returned false")
 		}
 		_ = a.SetReadDeadline(time.Now().Add(time.Second))
 		if _, err := a.Read(make([]byte, 1)); !isTimeout(err) {
-			t.Errorf("a frozen process sends: %v", err)
+			t.Errorf("Read from a frozen process returned error %v, want a timeout", err)
 		}
 		_ = a.SetReadDeadline(time.Time{})
 		began := time.Now()
-		time.AfterFunc(20*time.Second, other.Thaw)
-		if at := other.Now(); at.Sub(began) != 20*time.Second {
-			t.Errorf("its clock goes on after %v", at.Sub(began))
+		time.AfterFunc(20*time.Second, second.Thaw)
+		if at := second.Now(); at.Sub(began) != 20*time.Second {
+			t.Errorf("Now of the frozen process returned after %v, want 20s", at.Sub(began))
 		}
 		receive(t, b, "early")
 		receive(t, a, "answer")
--- a/internal/testkit/controlplanesim/simnet/process.go
+++ b/internal/testkit/controlplanesim/simnet/process.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// Process is one simulated process. It can be frozen and killed, and owns connections and listeners.
+// Process is a simulated process. It can be frozen and killed, and owns connections and listeners.
 type Process struct {
 	network *Network
-	host    string // IP
+	host    string // IP of its machine
 
 	mutex     sync.Mutex
-	frozen    chan struct{} // nil: it runs; closed by Thaw
-	ended     chan struct{} // closed by the end
+	frozen    chan struct{} // nil while the process runs; closed by Thaw
+	ended     chan struct{} // closed when the process ends
 	dead      bool
-	delayed   []func()             // what it has sent while it is frozen
-	stall     func() time.Duration // nil: readings of the clock return at once
+	delayed   []func()             // sends that were requested while the process is frozen
+	stall     func() time.Duration // delay of the next clock reading; nil if there is none
 	conns     map[*conn]struct{}
 	listeners map[*listener]struct{}
 }
 
-// NewProcess returns a process on the machine with that IP.
+// NewProcess returns a process on the machine with the given IP.
 func (n *Network) NewProcess(host string) *Process {
 	return &Process{
 		network: n, host: host, ended: make(chan struct{}),
@@ -28,7 +28,7 @@
 	}
 }
 
-// Freeze freezes the process: it gets and sends nothing, and Await waits.
+// Freeze freezes the process. It receives and sends nothing, and Await blocks.
 func (p *Process) Freeze() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -37,7 +37,7 @@
 	}
 }
 
-// Thaw lets the process continue.
+// Thaw resumes a frozen process and sends what it wrote while it was frozen.
 func (p *Process) Thaw() {
 	p.mutex.Lock()
 	if p.frozen != nil {
@@ -59,17 +59,17 @@
 	return p.frozen != nil
 }
 
-// Dead reports whether the process was killed.
+// Dead reports whether the process was killed or has lost power.
 func (p *Process) Dead() bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.dead
 }
 
-// Ended is closed once the process is killed.
+// Ended returns a channel that is closed when the process is killed or loses power.
 func (p *Process) Ended() <-chan struct{} { return p.ended }
 
-// Await returns once the process runs: at once, or when it is thawed. It is false once the process is dead.
+// Await blocks while the process is frozen. It returns true if the process runs and false if it is dead.
 func (p *Process) Await() bool {
 	for {
 		p.mutex.Lock()
@@ -88,7 +88,7 @@
 	}
 }
 
-// Now is the process's clock: whoever asks while it is frozen waits. With StallClock the caller may get the time late.
+// Now returns the time of the process's clock. It blocks while the process is frozen. With StallClock it may return late.
 func (p *Process) Now() time.Time {
 	p.Await()
 	now := time.Now()
@@ -104,8 +104,8 @@
 	return now
 }
 
-// StallClock has each reading of the clock return as much later as stall says, with the time of the reading, as if the goroutine
-// had not run in between. end ends that.
+// StallClock delays the return of each call of Now by the result of stall. The call still returns the time at which it read the
+// clock, as if its goroutine had not been scheduled in between. Calling end removes the delay.
 func (p *Process) StallClock(stall func() time.Duration) (end func()) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -117,7 +117,7 @@
 	}
 }
 
-// send calls function at once, or when the process is thawed.
+// send calls function immediately, or when the process is thawed. It does nothing if the process is dead.
 func (p *Process) send(function func()) {
 	p.mutex.Lock()
 	if p.dead {
@@ -133,10 +133,10 @@
 	function()
 }
 
-// Kill ends the process. The machine's kernel closes its connections and listeners.
+// Kill ends the process. The kernel of the machine closes its connections and listeners.
 func (p *Process) Kill() { p.terminate(false) }
 
-// LosePower ends the process with its machine: its connections end without notice, and buffered bytes are lost.
+// LosePower ends the process because its machine loses power. Its connections end without notice, and buffered bytes are lost.
 func (p *Process) LosePower() { p.terminate(true) }
 
 func (p *Process) terminate(silent bool) {
@@ -149,5 +149,5 @@
 	p.delayed = nil
 	close(p.ended)
 	p.mutex.Unlock()
-	p.network.release(p, silent)
+	p.network.closeProcess(p, silent)
 }
