--- a/internal/testkit/catchupbench/catchup_test.go
+++ b/internal/testkit/catchupbench/catchup_test.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// catchUpBound is catchUpS of the operators' pages.
+// catchUpBound is the limit catchUpS of the operators' documents.
 const catchUpBound = 4 * time.Second
 
-// TestPlay_membersCatchUpWithinTheBound is the short form of "inference-router measure catchup".
+// TestPlay_membersCatchUpWithinTheBound is a short version of "inference-router measure catchup".
 func TestPlay_membersCatchUpWithinTheBound(t *testing.T) {
 	steps, err := Play(t.Context(), Plan{
 		Directory: t.TempDir(), Routes: 450, Rate: 30, ReplaceEvery: 10, Limit: 20 * time.Second,
@@ -23,10 +23,10 @@
 		t.Log(step)
 	}
 	if len(steps) != 2*len(Manners()) || result.Slowest() > catchUpBound {
-		t.Errorf("%d steps, the slowest took %v", len(steps), result.Slowest())
+		t.Errorf("got %d steps, the slowest caught up after %v, want %d steps and at most %v", len(steps), result.Slowest(), 2*len(Manners()), catchUpBound)
 	}
 	var plot strings.Builder
 	if err := result.WriteSVG(&plot); err != nil || !strings.HasSuffix(plot.String(), "</svg>\n") {
-		t.Error(err, plot.Len())
+		t.Errorf("WriteSVG returned error %v and wrote %d bytes, want a complete SVG document", err, plot.Len())
 	}
 }
--- a/internal/testkit/catchupbench/member.go
+++ b/internal/testkit/catchupbench/member.go
@@ -17,7 +17,7 @@
 	"ospreybend/internal/controlplane/peertransport"
 )
 
-// stateMachine is the configuration as a replica's state machine.
+// stateMachine adapts the configuration store to the state machine of a replica.
 type stateMachine struct{ store *configuration.Store }
 
 func (m stateMachine) Apply(entry consensus.Entry) any {
@@ -29,7 +29,7 @@
 
 func (m stateMachine) Restore(_ uint64, data []byte) error { return m.store.Restore(data) }
 
-// traffic counts the bytes that are sent to each address.
+// traffic counts the bytes sent to each address.
 type traffic struct {
 	mutex sync.Mutex
 	sent  map[string]*atomic.Int64
@@ -37,7 +37,8 @@
 
 func newTraffic() *traffic { return &traffic{sent: make(map[string]*atomic.Int64)} }
 
-func (t *traffic) to(address string) *atomic.Int64 {
+// sentTo returns the counter of the bytes sent to the address.
+func (t *traffic) sentTo(address string) *atomic.Int64 {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if t.sent[address] == nil {
@@ -51,10 +52,10 @@
 	if err != nil {
 		return nil, err
 	}
-	return countedConnection{Conn: connection, sent: t.to(address)}, nil
+	return countedConnection{Conn: connection, sent: t.sentTo(address)}, nil
 }
 
-// countedConnection counts what is written.
+// countedConnection counts the bytes written to a connection.
 type countedConnection struct {
 	net.Conn
 	sent *atomic.Int64
@@ -66,27 +67,28 @@
 	return count, err
 }
 
-// member is one process: a replica, its disk and its end of the network.
+// member is a group member: a replica, its directory and its transport.
 type member struct {
 	self      consensus.Member
 	directory string
 	group     *replica.Group
-	network   *peertransport.Transport
-	ended     sync.WaitGroup
+	transport *peertransport.Transport
+	tasks     sync.WaitGroup
 }
 
-// startMember opens the replica in its directory and runs it. Address port 0 takes any.
-func startMember(self consensus.Member, founders []consensus.Member, directory string, listener net.Listener, counted *traffic) (*member, error) {
+// startMember opens the replica in the directory, creating it if needed, and runs it until stop is called. founders are the initial
+// members of a new group, or nil for a member that returns to or joins an existing one.
+func startMember(self consensus.Member, founders []consensus.Member, directory string, listener net.Listener, sent *traffic) (*member, error) {
 	m := &member{self: self, directory: directory}
-	network, err := peertransport.New(peertransport.Options{
+	transport, err := peertransport.New(peertransport.Options{
 		Self:    peertransport.Hello{Address: self.Address, Member: self.ID, Zone: "zone"},
 		Handler: m,
-		Dial:    counted.dial,
+		Dial:    sent.dial,
 	})
 	if err != nil {
 		return nil, err
 	}
-	m.network = network
+	m.transport = transport
 	m.group, err = replica.Open(replica.Options{
 		Shard:            shards.ConfigurationShard,
 		Directory:        directory,
@@ -94,54 +96,54 @@
 		BootstrapMembers: founders,
 		StateMachine:     stateMachine{store: configuration.NewStore()},
 		Send: func(to consensus.Member, message consensus.Message) {
-			network.Send(to, shards.ConfigurationShard, message)
+			transport.Send(to, shards.ConfigurationShard, message)
 		},
 	})
 	if err != nil {
-		network.Close()
+		transport.Close()
 		return nil, err
 	}
-	m.ended.Go(func() { _ = m.group.Run(context.Background()) })
-	m.ended.Go(func() { _ = network.Serve(listener) })
+	m.tasks.Go(func() { _ = m.group.Run(context.Background()) })
+	m.tasks.Go(func() { _ = transport.Serve(listener) })
 	return m, nil
 }
 
-// stop ends the process.
+// stop closes the replica and its transport and waits until both have ended.
 func (m *member) stop() error {
 	err := m.group.Close()
-	m.network.Close()
-	m.ended.Wait()
+	m.transport.Close()
+	m.tasks.Wait()
 	return err
 }
 
-// Connected implements peertransport's handler.
+// Connected does nothing; it completes the peertransport handler.
 func (m *member) Connected(peertransport.Hello) {}
 
-// Messages hands messages to the replica.
+// Messages passes the messages addressed to this member to its replica.
 func (m *member) Messages(_ peertransport.Hello, batch []peertransport.GroupMessage) {
-	for _, one := range batch {
-		if one.Message.To == m.self.ID {
-			m.group.Step(one.Message)
+	for _, received := range batch {
+		if received.Message.To == m.self.ID {
+			m.group.Step(received.Message)
 		}
 	}
 }
 
-// Call is never called here.
+// Call is never used by the benchmark.
 func (m *member) Call(context.Context, peertransport.Hello, peertransport.CallKind, []byte) ([]byte, error) {
 	return nil, nil
 }
 
-// FeedConnection closes the connection: the benchmark has no readers.
+// FeedConnection closes the connection, as the benchmark has no feed readers.
 func (m *member) FeedConnection(_ context.Context, connection net.Conn, _ feedtransport.Kind, _ []byte) {
 	_ = connection.Close()
 }
 
 func (m *member) applied() uint64 { return m.group.Status().AppliedIndex }
 
-// memberDirectory is where the disk of a member is.
+// memberDirectory returns the directory of the member with the given ID.
 func memberDirectory(parent string, id consensus.MemberID) string {
 	return filepath.Join(parent, strconv.FormatUint(uint64(id), 10))
 }
 
-// wipe takes a member's disk.
-func (m *member) wipe() error { return os.RemoveAll(m.directory) }
+// deleteDisk deletes the directory of the member.
+func (m *member) deleteDisk() error { return os.RemoveAll(m.directory) }
--- a/internal/testkit/catchupbench/plan.go
+++ b/internal/testkit/catchupbench/plan.go
@@ -16,53 +16,53 @@
 	"ospreybend/internal/controlplane/peertransport"
 )
 
-// Manner is how a member comes back.
+// Manner is the way in which a member returns to the group.
 type Manner string
 
-// The manners.
+// Manners of return.
 const (
-	Restarted Manner = "restarted" // with its disk
-	Wiped     Manner = "wiped"     // at its address, without its disk, under a new ID
-	Replaced  Manner = "replaced"  // by a new one at another address
+	Restarted Manner = "restarted" // with its disk and ID
+	Wiped     Manner = "wiped"     // at the same address with an empty disk and a new ID
+	Replaced  Manner = "replaced"  // by a new member at another address
 )
 
-// Manners returns all manners.
+// Manners returns all manners in the order in which they are measured.
 func Manners() []Manner { return []Manner{Restarted, Wiped, Replaced} }
 
-// Plan describes what is measured.
+// Plan holds the parameters of a measurement.
 type Plan struct {
-	Directory    string
-	Routes       int
-	Rate         int // changes a second, which go on
-	ReplaceEvery int // one in so many changes replaces the complete document
-	Offline      []time.Duration
-	Limit        time.Duration // until a member must be current
-	Progress     io.Writer     // nil: none
+	Directory    string          // parent of the members' directories
+	Routes       int             // number of routes in the configuration
+	Rate         int             // changes per second, also while a member catches up
+	ReplaceEvery int             // one in this many changes replaces the complete document
+	Offline      []time.Duration // times that members are offline, each measured with every Manner
+	Limit        time.Duration   // time limit for a member to catch up, and for each other wait
+	Progress     io.Writer       // receives one line per step; may be nil
 }
 
-// Step is one return of a member. Its JSON members have the names that earlier results have.
+// Step is the measurement of one return of a member. The JSON names are those of earlier results and must not change.
 type Step struct {
 	Manner  Manner        `json:"Manner"`
 	Offline time.Duration `json:"Away"`
-	Lacked  int           `json:"Lacked"`  // changes made meanwhile
-	Took    time.Duration `json:"Took"`    // from its start until it had applied what the leader had
-	Voting  time.Duration `json:"Voting"`  // until it had a vote again
-	Bytes   int64         `json:"Bytes"`   // sent to it until it was current
-	OnDisk  int64         `json:"OnDisk"`  // bytes of its replica then
-	Leading int64         `json:"Leading"` // bytes of the leader's replica
+	Lacked  int           `json:"Lacked"`  // changes made while it was offline
+	Took    time.Duration `json:"Took"`    // from its start until it had caught up with the leader
+	Voting  time.Duration `json:"Voting"`  // from its start until it was a voter again
+	Bytes   int64         `json:"Bytes"`   // bytes sent to it until it had caught up
+	OnDisk  int64         `json:"OnDisk"`  // disk usage of its replica at that time
+	Leading int64         `json:"Leading"` // disk usage of the leader's replica at that time
 }
 
 // Errors of a measurement.
 var (
-	errNoLeader   = errors.New("catchup: no leader is elected")
-	errNotCurrent = errors.New("catchup: a member is not current in time")
-	errRefused    = errors.New("catchup: a change was refused")
+	errNoLeader   = errors.New("catchup: no leader was elected within the limit")
+	errNotCurrent = errors.New("catchup: the member did not catch up within the limit")
+	errRejected   = errors.New("catchup: the configuration rejected a change")
 )
 
-// fleet is the group under measurement.
-type fleet struct {
+// testGroup is the replica group that is measured.
+type testGroup struct {
 	plan       Plan
-	counted    *traffic
+	traffic    *traffic
 	lastID     consensus.MemberID
 	generation uint64
 
@@ -70,46 +70,47 @@
 	members []*member
 }
 
-// present returns the members that run.
-func (f *fleet) present() []*member {
-	f.mutex.Lock()
-	defer f.mutex.Unlock()
-	return slices.Clone(f.members)
+// running returns the members that are running.
+func (g *testGroup) running() []*member {
+	g.mutex.Lock()
+	defer g.mutex.Unlock()
+	return slices.Clone(g.members)
 }
 
-// add adds a member that has been started.
-func (f *fleet) add(one *member) {
-	f.mutex.Lock()
-	defer f.mutex.Unlock()
-	f.members = append(f.members, one)
+// add adds a member that was started.
+func (g *testGroup) add(started *member) {
+	g.mutex.Lock()
+	defer g.mutex.Unlock()
+	g.members = append(g.members, started)
 }
 
-// remove takes out a member that is to be stopped.
-func (f *fleet) remove(gone *member) {
-	f.mutex.Lock()
-	defer f.mutex.Unlock()
-	f.members = slices.DeleteFunc(f.members, func(one *member) bool { return one == gone })
+// remove removes a member before it is stopped.
+func (g *testGroup) remove(stopped *member) {
+	g.mutex.Lock()
+	defer g.mutex.Unlock()
+	g.members = slices.DeleteFunc(g.members, func(m *member) bool { return m == stopped })
 }
 
-// founders is how many members the group has.
-const founders = 3
+// groupSize is the number of members of the group.
+const groupSize = 3
 
-// pollPause is the pause between two looks at a replica's state.
-const pollPause = time.Millisecond
+// pollInterval is the interval at which the state of a replica is polled.
+const pollInterval = time.Millisecond
 
-// Play measures all returns.
+// Play measures the return of a member for each offline time and manner of the plan. On an error it also returns the completed
+// steps.
 func Play(ctx context.Context, plan Plan) ([]Step, error) {
-	f := &fleet{plan: plan, counted: newTraffic()}
-	defer f.stop()
-	if err := f.bootstrap(); err != nil {
+	g := &testGroup{plan: plan, traffic: newTraffic()}
+	defer g.stop()
+	if err := g.bootstrap(); err != nil {
 		return nil, err
 	}
 	var steps []Step
 	for _, offline := range plan.Offline {
 		for _, manner := range Manners() {
-			step, err := f.measure(ctx, manner, offline)
+			step, err := g.measure(ctx, manner, offline)
 			if err != nil {
-				return steps, fmt.Errorf("%s after %v: %w", manner, offline, err)
+				return steps, fmt.Errorf("measure a member that is %s after %v offline: %w", manner, offline, err)
 			}
 			steps = append(steps, step)
 			if plan.Progress != nil {
@@ -120,40 +121,40 @@
 	return steps, nil
 }
 
-func (f *fleet) stop() {
-	for _, one := range f.present() {
-		_ = one.stop()
+func (g *testGroup) stop() {
+	for _, m := range g.running() {
+		_ = m.stop()
 	}
 }
 
-// bootstrap starts the founders.
-func (f *fleet) bootstrap() error {
+// bootstrap starts the initial members.
+func (g *testGroup) bootstrap() error {
 	var listeners []net.Listener
-	var first []consensus.Member
-	for range founders {
+	var founders []consensus.Member
+	for range groupSize {
 		listener, err := peertransport.Listen(context.Background(), "127.0.0.1:0")
 		if err != nil {
 			return err
 		}
-		f.lastID++
+		g.lastID++
 		listeners = append(listeners, listener)
-		first = append(first, consensus.Member{ID: f.lastID, Address: listener.Addr().String(), Voter: true})
+		founders = append(founders, consensus.Member{ID: g.lastID, Address: listener.Addr().String(), Voter: true})
 	}
-	for at, self := range first {
-		started, err := startMember(self, first, memberDirectory(f.plan.Directory, self.ID), listeners[at], f.counted)
+	for i, self := range founders {
+		started, err := startMember(self, founders, memberDirectory(g.plan.Directory, self.ID), listeners[i], g.traffic)
 		if err != nil {
 			return err
 		}
-		f.add(started)
+		g.add(started)
 	}
 	return nil
 }
 
-// until polls until a condition holds.
-func (f *fleet) until(ctx context.Context, failure error, done func() bool) error {
-	limit := time.NewTimer(f.plan.Limit)
+// pollUntil polls until done returns true. It returns failure when the plan's limit has passed.
+func (g *testGroup) pollUntil(ctx context.Context, failure error, done func() bool) error {
+	limit := time.NewTimer(g.plan.Limit)
 	defer limit.Stop()
-	ticker := time.NewTicker(pollPause)
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for !done() {
 		select {
@@ -167,12 +168,13 @@
 	return nil
 }
 
-func (f *fleet) leader(ctx context.Context) (*member, error) {
+// leader returns the current leader, and waits for an election if there is none.
+func (g *testGroup) leader(ctx context.Context) (*member, error) {
 	var found *member
-	err := f.until(ctx, errNoLeader, func() bool {
-		for _, one := range f.present() {
-			if one.group.Status().IsLeader() {
-				found = one
+	err := g.pollUntil(ctx, errNoLeader, func() bool {
+		for _, m := range g.running() {
+			if m.group.Status().IsLeader() {
+				found = m
 			}
 		}
 		return found != nil
@@ -180,12 +182,12 @@
 	return found, err
 }
 
-// change makes the next change, also over a change of leader.
-func (f *fleet) change(ctx context.Context) error {
-	command := f.plan.change(f.generation)
+// proposeNextChange proposes the next change and tries again, with a new leader if needed, until it is applied.
+func (g *testGroup) proposeNextChange(ctx context.Context) error {
+	command := g.plan.nextCommand(g.generation)
 	encoded := configuration.EncodeCommand(command)
 	for {
-		leader, err := f.leader(ctx)
+		leader, err := g.leader(ctx)
 		if err != nil {
 			return err
 		}
@@ -198,16 +200,16 @@
 		}
 		outcome := result.(configuration.Outcome)
 		if outcome.HTTPStatus != 200 {
-			return fmt.Errorf("%w: %d %s", errRefused, outcome.Code, outcome.Text)
+			return fmt.Errorf("%w: %d %s", errRejected, outcome.Code, outcome.Text)
 		}
-		f.generation++
+		g.generation++
 		return nil
 	}
 }
 
-// makeChanges makes changes at the plan's rate until the context ends.
-func (f *fleet) makeChanges(ctx context.Context) error {
-	ticker := time.NewTicker(time.Second / time.Duration(f.plan.Rate))
+// makeChanges makes changes at the rate of the plan until ctx ends.
+func (g *testGroup) makeChanges(ctx context.Context) error {
+	ticker := time.NewTicker(time.Second / time.Duration(g.plan.Rate))
 	defer ticker.Stop()
 	for {
 		select {
@@ -215,48 +217,48 @@
 			return nil
 		case <-ticker.C:
 		}
-		if err := f.change(ctx); err != nil && ctx.Err() == nil {
+		if err := g.proposeNextChange(ctx); err != nil && ctx.Err() == nil {
 			return err
 		}
 	}
 }
 
-// measure has a follower go, makes the changes of the time that it is away, and has it come back.
-func (f *fleet) measure(ctx context.Context, manner Manner, offline time.Duration) (Step, error) {
-	if err := f.change(ctx); err != nil {
+// measure stops a follower, makes the changes that occur while it is offline, and has it return in the given manner.
+func (g *testGroup) measure(ctx context.Context, manner Manner, offline time.Duration) (Step, error) {
+	if err := g.proposeNextChange(ctx); err != nil {
 		return Step{}, err
 	}
-	leader, err := f.leader(ctx)
+	leader, err := g.leader(ctx)
 	if err != nil {
 		return Step{}, err
 	}
-	followers := slices.DeleteFunc(f.present(), func(one *member) bool { return one == leader })
-	gone := followers[0]
-	f.remove(gone)
-	if err := gone.stop(); err != nil {
+	followers := slices.DeleteFunc(g.running(), func(m *member) bool { return m == leader })
+	stopped := followers[0]
+	g.remove(stopped)
+	if err := stopped.stop(); err != nil {
 		return Step{}, err
 	}
-	lacked := max(1, int(offline.Seconds()*float64(f.plan.Rate)))
-	for range lacked {
-		if err := f.change(ctx); err != nil {
+	missed := max(1, int(offline.Seconds()*float64(g.plan.Rate)))
+	for range missed {
+		if err := g.proposeNextChange(ctx); err != nil {
 			return Step{}, err
 		}
 	}
-	step := Step{Manner: manner, Offline: offline, Lacked: lacked}
-	going, endChanges := context.WithCancel(ctx)
+	step := Step{Manner: manner, Offline: offline, Lacked: missed}
+	changesCtx, endChanges := context.WithCancel(ctx)
 	changes := make(chan error, 1)
-	go func() { changes <- f.makeChanges(going) }()
-	err = f.bringBack(ctx, gone, &step)
+	go func() { changes <- g.makeChanges(changesCtx) }()
+	err = g.returnMember(ctx, stopped, &step)
 	endChanges()
 	return step, errors.Join(err, <-changes)
 }
 
-// bringBack starts the member, or its replacement, and measures how long it takes to catch up.
-func (f *fleet) bringBack(ctx context.Context, gone *member, step *Step) error {
-	self, address := gone.self, gone.self.Address
+// returnMember starts the stopped member or its replacement and measures how long it takes to catch up.
+func (g *testGroup) returnMember(ctx context.Context, stopped *member, step *Step) error {
+	self, address := stopped.self, stopped.self.Address
 	if step.Manner != Restarted {
-		f.lastID++
-		if err := gone.wipe(); err != nil {
+		g.lastID++
+		if err := stopped.deleteDisk(); err != nil {
 			return err
 		}
 		if step.Manner == Replaced {
@@ -268,27 +270,27 @@
 		return err
 	}
 	if step.Manner != Restarted {
-		self = consensus.Member{ID: f.lastID, Address: listener.Addr().String()}
+		self = consensus.Member{ID: g.lastID, Address: listener.Addr().String()}
 	}
-	sent := f.counted.to(self.Address)
+	sent := g.traffic.sentTo(self.Address)
 	before, began := sent.Load(), time.Now()
-	back, err := startMember(self, nil, memberDirectory(f.plan.Directory, self.ID), listener, f.counted)
+	returned, err := startMember(self, nil, memberDirectory(g.plan.Directory, self.ID), listener, g.traffic)
 	if err != nil {
 		return err
 	}
-	leader, err := f.leader(ctx)
-	f.add(back)
+	leader, err := g.leader(ctx)
+	g.add(returned)
 	if err != nil {
 		return err
 	}
 	if step.Manner != Restarted {
-		err = errors.Join(f.changeMembership(ctx, replica.MembershipChange{Remove: gone.self.ID}), f.changeMembership(ctx, replica.MembershipChange{Add: &self}))
+		err = errors.Join(g.changeMembership(ctx, replica.MembershipChange{Remove: stopped.self.ID}), g.changeMembership(ctx, replica.MembershipChange{Add: &self}))
 	}
 	if err != nil {
 		return err
 	}
-	err = f.until(ctx, errNotCurrent, func() bool { return back.applied() > 1 && back.applied()+1 >= leader.applied() })
-	step.Took, step.Bytes, step.OnDisk = time.Since(began), sent.Load()-before, back.group.Status().DiskBytes
+	err = g.pollUntil(ctx, errNotCurrent, func() bool { return returned.applied() > 1 && returned.applied()+1 >= leader.applied() })
+	step.Took, step.Bytes, step.OnDisk = time.Since(began), sent.Load()-before, returned.group.Status().DiskBytes
 	step.Leading = leader.group.Status().DiskBytes
 	if err != nil {
 		return err
@@ -298,16 +300,16 @@
 		return nil
 	}
 	self.Voter = true
-	err = f.changeMembership(ctx, replica.MembershipChange{Add: &self})
+	err = g.changeMembership(ctx, replica.MembershipChange{Add: &self})
 	step.Voting = time.Since(began)
 	return err
 }
 
-// changeMembership makes a change of members, and tries again while the group refuses it.
-func (f *fleet) changeMembership(ctx context.Context, change replica.MembershipChange) error {
-	limit := time.Now().Add(f.plan.Limit)
+// changeMembership changes the members of the group. It tries again while the group rejects the change, up to the plan's limit.
+func (g *testGroup) changeMembership(ctx context.Context, change replica.MembershipChange) error {
+	limit := time.Now().Add(g.plan.Limit)
 	for {
-		leader, err := f.leader(ctx)
+		leader, err := g.leader(ctx)
 		if err != nil {
 			return err
 		}
@@ -315,14 +317,14 @@
 		if err == nil || ctx.Err() != nil || time.Now().After(limit) {
 			return err
 		}
-		if err := f.until(ctx, nil, afterNow()); err != nil {
+		if err := g.pollUntil(ctx, nil, afterPause()); err != nil {
 			return err
 		}
 	}
 }
 
-// afterNow is a condition that holds a little later.
-func afterNow() func() bool {
-	later := time.Now().Add(10 * pollPause)
+// afterPause returns a condition that becomes true after 10 poll intervals.
+func afterPause() func() bool {
+	later := time.Now().Add(10 * pollInterval)
 	return func() bool { return time.Now().After(later) }
 }
--- a/internal/testkit/catchupbench/result_test.go
+++ b/internal/testkit/catchupbench/result_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// The JSON members keep the names that results on record have.
+// TestResult_WriteJSON_memberNames verifies that the names of JSON members stay those of earlier recorded results.
 func TestResult_WriteJSON_memberNames(t *testing.T) {
 	result := Result{Command: "c", Build: "b", Steps: []Step{{
 		Manner: Wiped, Offline: time.Microsecond, Lacked: 2, Took: 3, Voting: 4, Bytes: 5, OnDisk: 6, Leading: 7,
--- a/internal/testkit/controlplanesim/history/types.go
+++ b/internal/testkit/controlplanesim/history/types.go
@@ -34,6 +34,7 @@
 // Kind is the type of an operation.
 type Kind string
 
+// Kinds of operations.
 const (
 	Replace Kind = "replace"
 	Update  Kind = "update"
@@ -43,6 +44,7 @@
 // Outcome is the result of an operation as the caller saw it.
 type Outcome string
 
+// Outcomes of operations.
 const (
 	Acknowledged Outcome = "acknowledged" // 200
 	Rejected     Outcome = "refused"      // a 4xx status that ends the operator's call
@@ -99,6 +101,7 @@
 // State is the state of a worker in a view.
 type State string
 
+// States of a worker.
 const (
 	Absent   State = "absent"
 	Ready    State = "ready"
--- a/internal/testkit/controlplanesim/schedule/types.go
+++ b/internal/testkit/controlplanesim/schedule/types.go
@@ -46,6 +46,7 @@
 // Kind is the type of an event.
 type Kind string
 
+// Kinds of events.
 const (
 	Kill        Kind = "kill"         // processes of Servers are killed and restart after For; disks are kept
 	Power       Kind = "power"        // Servers lose power and return after For; writes that were not synced may be lost or torn
@@ -134,6 +135,7 @@
 // Trigger is a condition that an event waits for.
 type Trigger string
 
+// Triggers of events.
 const (
 	Acknowledgement Trigger = "acknowledgement" // an operator's order is acknowledged
 	Sent            Trigger = "sent"            // an operator's order is sent
