--- a/internal/testkit/controlplanesim/call.go
+++ b/internal/testkit/controlplanesim/call.go
@@ -38,11 +38,11 @@
 		answered <- server.APIResponse{} // connection refused
 		return
 	}
-	if !process.Await() {
+	if !process.AwaitRunning() {
 		return
 	}
 	response := served.Handle(context.Background(), request)
-	if !process.Await() || sim.dropsReplies(from) {
+	if !process.AwaitRunning() || sim.dropsReplies(from) {
 		return
 	}
 	if sim.travel(ctx, simnet.Path{From: to.ip, To: from}) {
@@ -53,11 +53,11 @@
 // travel waits until a message has arrived along a path. It returns false if ctx ends first.
 func (sim *simulation) travel(ctx context.Context, path simnet.Path) bool {
 	for {
-		changed := sim.network.Changed()
+		changed := sim.network.PathsChanged()
 		if !simnet.Sleep(ctx, sim.network.Delay(path)) {
 			return false
 		}
-		if sim.network.Open(path) {
+		if sim.network.Reachable(path) {
 			return true
 		}
 		select {
--- a/internal/testkit/controlplanesim/client_events.go
+++ b/internal/testkit/controlplanesim/client_events.go
@@ -18,7 +18,7 @@
 		hosts = append(hosts, sim.operators[i].host)
 	}
 	end := sim.dropReplies(hosts)
-	time.Sleep(event.For)
+	time.Sleep(event.Duration)
 	end()
 }
 
@@ -127,13 +127,13 @@
 		one := sim.workers[i]
 		leaving.Go(func() {
 			if event.Variant == schedule.WorkerLate {
-				one.delayHeartbeats(ctx, event.For)
+				one.delayHeartbeats(ctx, event.Duration)
 				return
 			}
 			if departing := one.detachIncarnation(); departing != nil {
 				departing.depart(ctx, event.Variant)
 			}
-			simnet.Sleep(ctx, event.For)
+			simnet.Sleep(ctx, event.Duration)
 			one.start(ctx)
 		})
 	}
--- a/internal/testkit/controlplanesim/cutoff_test.go
+++ b/internal/testkit/controlplanesim/cutoff_test.go
@@ -67,16 +67,16 @@
 func cutScenarios() []cutScenario {
 	var all []cutScenario
 	for _, follower := range []bool{false, true} {
-		for _, variant := range []schedule.Variant{schedule.CutServers, schedule.CutSide, schedule.CutInward, schedule.CutOutward, ""} {
+		for _, variant := range []schedule.Variant{schedule.PartitionServers, schedule.PartitionSide, schedule.PartitionInbound, schedule.PartitionOutbound, ""} {
 			all = append(all, cutScenario{variant: variant, follower: follower})
 		}
 		all = append(all,
-			cutScenario{variant: schedule.CutSide, follower: follower, agents: []int{0, 1}},
-			cutScenario{variant: schedule.CutServers, follower: follower, restart: true},
-			cutScenario{variant: schedule.CutSide, follower: follower, agents: []int{0}, restart: true},
-			cutScenario{variant: schedule.CutServers, follower: follower, restart: true, wiped: true},
-			cutScenario{variant: schedule.CutServers, follower: follower, earlyDeparture: true},
-			cutScenario{variant: schedule.CutServers, follower: follower, othersRestart: true},
+			cutScenario{variant: schedule.PartitionSide, follower: follower, agents: []int{0, 1}},
+			cutScenario{variant: schedule.PartitionServers, follower: follower, restart: true},
+			cutScenario{variant: schedule.PartitionSide, follower: follower, agents: []int{0}, restart: true},
+			cutScenario{variant: schedule.PartitionServers, follower: follower, restart: true, wiped: true},
+			cutScenario{variant: schedule.PartitionServers, follower: follower, earlyDeparture: true},
+			cutScenario{variant: schedule.PartitionServers, follower: follower, othersRestart: true},
 		)
 	}
 	return all
@@ -125,7 +125,7 @@
 func (sim *simulation) isolate(ctx context.Context, c cutScenario, victim int) (began, ended time.Duration) {
 	began = sim.recorder.now()
 	event := schedule.Event{
-		At: began, Kind: schedule.Cut, Variant: c.variant, Servers: []int{victim}, Agents: c.agents, For: cutDuration, Restart: c.restart,
+		At: began, Kind: schedule.Partition, Variant: c.variant, Servers: []int{victim}, Agents: c.agents, Duration: cutDuration, Restart: c.restart,
 		Operators: []int{insideOperator}, Workers: []int{steadyWorker, drainWorker, leaveWorker},
 	}
 	during, stop := context.WithTimeout(ctx, cutDuration)
@@ -167,7 +167,7 @@
 
 // restartOthers restarts all servers but one at the same time and sends orders to them from then on.
 func (sim *simulation) restartOthers(ctx context.Context, victim int) {
-	endFault := sim.recorder.beginFault(history.Fault{What: "all others are killed", Core: true, Lost: sim.allSlots()})
+	endFault := sim.recorder.beginFault(history.Fault{Description: "all others are killed", Core: true, Lost: sim.allSlots()})
 	var others []*machine
 	for _, m := range sim.currentMachines() {
 		if m.slot != victim {
@@ -262,14 +262,14 @@
 	scenario cutScenario
 	seed     uint64 // first of 20 seeds, at least one of which shows the violation
 }{
-	{"keeper.read-confirmed", cutScenario{variant: schedule.CutServers, othersRestart: true}, 1},
-	{"agreement.read-confirmed", cutScenario{variant: schedule.CutServers, othersRestart: true}, 20},
-	{"keeper.feed-current", cutScenario{variant: schedule.CutServers}, 1},
-	{"keeper.beat-current", cutScenario{variant: schedule.CutServers, follower: true}, 1},
-	{"keeper.beat-recorded", cutScenario{variant: schedule.CutServers, follower: true, earlyDeparture: true}, 1},
-	{"keeper.founding-once", cutScenario{variant: schedule.CutServers, restart: true, wiped: true}, 1},
-	{"agreement.commit-majority", cutScenario{variant: schedule.CutServers}, 1},
-	{GuardLeaveStale, cutScenario{variant: schedule.CutServers}, 1},
+	{"keeper.read-confirmed", cutScenario{variant: schedule.PartitionServers, othersRestart: true}, 1},
+	{"agreement.read-confirmed", cutScenario{variant: schedule.PartitionServers, othersRestart: true}, 20},
+	{"keeper.feed-current", cutScenario{variant: schedule.PartitionServers}, 1},
+	{"keeper.beat-current", cutScenario{variant: schedule.PartitionServers, follower: true}, 1},
+	{"keeper.beat-recorded", cutScenario{variant: schedule.PartitionServers, follower: true, earlyDeparture: true}, 1},
+	{"keeper.founding-once", cutScenario{variant: schedule.PartitionServers, restart: true, wiped: true}, 1},
+	{"agreement.commit-majority", cutScenario{variant: schedule.PartitionServers}, 1},
+	{GuardLeaveStale, cutScenario{variant: schedule.PartitionServers}, 1},
 }
 
 func TestCut_eachGuardIsNeeded(t *testing.T) {
--- a/internal/testkit/controlplanesim/events.go
+++ b/internal/testkit/controlplanesim/events.go
@@ -33,7 +33,7 @@
 
 func (sim *simulation) playEvent(ctx context.Context, event schedule.Event) {
 	time.Sleep(event.At - sim.recorder.now())
-	if event.On != "" && !sim.awaitTrigger(event.On, event.Servers) {
+	if event.Trigger != "" && !sim.awaitTrigger(event.Trigger, event.Servers) {
 		return
 	}
 	time.Sleep(event.Delay)
@@ -49,28 +49,28 @@
 		schedule.Power:       sim.playStop((*machine).losePower),
 		schedule.Wipe:        sim.playStop((*machine).wipe),
 		schedule.Freeze:      sim.playFreeze,
-		schedule.Cut:         sim.playCut,
+		schedule.Partition:         sim.playCut,
 		schedule.Replace:     sim.playReplace,
 		schedule.Disk:        sim.playDisk,
 		schedule.Link:        sim.playLink,
 		schedule.KillAll:     sim.playStopAll((*machine).kill),
 		schedule.PowerAll:    sim.playStopAll((*machine).losePower),
 		schedule.RestartAll:  sim.playStopAll((*machine).terminate),
-		schedule.Roll:        sim.playRoll,
+		schedule.RollingRestart:        sim.playRoll,
 		schedule.LoseReplies: sim.playLoseReplies,
 		schedule.Race:        sim.playRace,
 		schedule.Burst:       sim.playBurst,
-		schedule.Bad:         sim.playBad,
+		schedule.InvalidConfig:         sim.playBad,
 		schedule.Worker:      sim.playWorkers,
 		schedule.Quota:       sim.playQuota,
 		schedule.Stall:       sim.playStall,
-		schedule.Rewipe:      sim.playRewipe,
+		schedule.WipeTwice:      sim.playRewipe,
 	}
 }
 
 // beginCoreFault records a fault of the core. The function returned records its end.
 func (sim *simulation) beginCoreFault(event schedule.Event, lost []int) (endFault func()) {
-	return sim.recorder.beginFault(history.Fault{What: event.String(), Core: true, Lost: lost})
+	return sim.recorder.beginFault(history.Fault{Description: event.String(), Core: true, Lost: lost})
 }
 
 // playStop stops machines with the given function and starts them again after the event's duration.
@@ -81,7 +81,7 @@
 		for _, m := range targets {
 			down(m)
 		}
-		time.Sleep(event.For)
+		time.Sleep(event.Duration)
 		sim.startAll(targets)
 		endFault()
 	}
@@ -99,7 +99,7 @@
 // playStopAll stops all machines of the core; the event's servers lose their disks too.
 func (sim *simulation) playStopAll(down func(*machine)) func(context.Context, schedule.Event) {
 	return func(_ context.Context, event schedule.Event) {
-		endFault := sim.recorder.beginFault(history.Fault{What: event.String(), Core: true, Lasting: true, Lost: sim.allSlots()})
+		endFault := sim.recorder.beginFault(history.Fault{Description: event.String(), Core: true, Lasting: true, Lost: sim.allSlots()})
 		all := sim.currentMachines()
 		var pending sync.WaitGroup
 		for _, m := range all {
@@ -111,7 +111,7 @@
 			})
 		}
 		pending.Wait()
-		time.Sleep(event.For)
+		time.Sleep(event.Duration)
 		sim.startAll(all)
 		endFault()
 	}
@@ -127,7 +127,7 @@
 
 func (sim *simulation) playFreeze(_ context.Context, event schedule.Event) {
 	endFault := sim.recorder.beginFault(history.Fault{
-		What: event.String(), Core: len(event.Servers) > 0, Agents: event.Agents, Lost: event.Servers,
+		Description: event.String(), Core: len(event.Servers) > 0, Agents: event.Agents, Lost: event.Servers,
 	})
 	var thawAll []func()
 	for _, m := range sim.machinesAt(event.Servers) {
@@ -139,7 +139,7 @@
 			thawAll = append(thawAll, process.Thaw)
 		}
 	}
-	time.Sleep(event.For)
+	time.Sleep(event.Duration)
 	for _, end := range thawAll {
 		end()
 	}
@@ -151,14 +151,14 @@
 func (sim *simulation) playCut(_ context.Context, event schedule.Event) {
 	targets := sim.machinesAt(event.Servers)
 	endFault := sim.recorder.beginFault(history.Fault{
-		What: event.String(), Core: true, Agents: event.Agents, Lost: event.Servers, Isolated: addressesOf(targets), Lease: cutLease(event.Variant, len(event.Servers)),
+		Description: event.String(), Core: true, Agents: event.Agents, Lost: event.Servers, Isolated: addressesOf(targets), Lease: cutLease(event.Variant, len(event.Servers)),
 	})
-	heal := sim.network.Cut(sim.blockedPaths(event, targets))
+	heal := sim.network.Block(sim.blockedPaths(event, targets))
 	sim.restrictTo(event, targets)
 	if event.Restart {
 		sim.restartDuringCut(event, targets)
 	} else {
-		time.Sleep(event.For)
+		time.Sleep(event.Duration)
 	}
 	heal()
 	sim.restrictTo(event, nil)
@@ -187,7 +187,7 @@
 // cutLease returns how long servers that are isolated together may still answer calls that change nothing.
 func cutLease(variant schedule.Variant, servers int) time.Duration {
 	lease := isolatedLease
-	if variant == schedule.CutOutward {
+	if variant == schedule.PartitionOutbound {
 		lease = outwardLease
 	}
 	if servers > 1 {
@@ -213,13 +213,13 @@
 	for _, m := range targets {
 		seeds = append(seeds, controlAddress(m.ip))
 	}
-	time.Sleep(event.For / 3)
+	time.Sleep(event.Duration / 3)
 	wasMember := make(map[*machine]bool)
 	for _, m := range targets {
 		wasMember[m] = m.isMember()
 		m.kill()
 	}
-	time.Sleep(event.For / 10)
+	time.Sleep(event.Duration / 10)
 	for _, m := range targets {
 		if wasMember[m] {
 			m.start(seeds, false)
@@ -227,7 +227,7 @@
 			m.start(sim.seeds(), false)
 		}
 	}
-	time.Sleep(event.For - event.For/3 - event.For/10)
+	time.Sleep(event.Duration - event.Duration/3 - event.Duration/10)
 }
 
 // blockedPaths returns a function that reports whether a cut blocks a path.
@@ -241,13 +241,13 @@
 	}
 	crosses := func(p simnet.Path) bool { return inside[p.From] != inside[p.To] }
 	switch event.Variant {
-	case schedule.CutServers:
+	case schedule.PartitionServers:
 		return func(p simnet.Path) bool { return crosses(p) && isServer(p.From) && isServer(p.To) }
-	case schedule.CutInward:
+	case schedule.PartitionInbound:
 		return func(p simnet.Path) bool { return crosses(p) && inside[p.To] && isMachine(p.From) }
-	case schedule.CutOutward:
+	case schedule.PartitionOutbound:
 		return func(p simnet.Path) bool { return crosses(p) && inside[p.From] && isMachine(p.To) }
-	case schedule.CutAll:
+	case schedule.PartitionAll:
 		return crosses
 	}
 	return func(p simnet.Path) bool { return crosses(p) && isMachine(p.From) && isMachine(p.To) }
@@ -262,7 +262,7 @@
 			if event.Variant == schedule.Planned {
 				sim.replacePlanned(slot)
 			} else {
-				sim.replaceLost(slot, event.For)
+				sim.replaceLost(slot, event.Duration)
 			}
 		})
 	}
@@ -291,12 +291,12 @@
 }
 
 func (sim *simulation) playDisk(_ context.Context, event schedule.Event) {
-	endFault := sim.recorder.beginFault(history.Fault{What: event.String(), Core: true, Lasting: true, Lost: event.Servers})
+	endFault := sim.recorder.beginFault(history.Fault{Description: event.String(), Core: true, Lasting: true, Lost: event.Servers})
 	var repairs []func()
 	for _, m := range sim.machinesAt(event.Servers) {
 		repairs = append(repairs, m.disk.injectFault(event.Variant))
 	}
-	time.Sleep(event.For)
+	time.Sleep(event.Duration)
 	for _, end := range repairs {
 		end()
 	}
@@ -305,7 +305,7 @@
 
 func (sim *simulation) playLink(_ context.Context, event schedule.Event) {
 	core := len(event.Servers) > 0
-	endFault := sim.recorder.beginFault(history.Fault{What: event.String(), Core: core, Lasting: core, Agents: event.Agents, Lost: event.Servers})
+	endFault := sim.recorder.beginFault(history.Fault{Description: event.String(), Core: core, Lasting: core, Agents: event.Agents, Lost: event.Servers})
 	hosts := make(map[string]bool)
 	for _, m := range sim.machinesAt(event.Servers) {
 		hosts[m.ip] = true
@@ -318,8 +318,8 @@
 	case schedule.LinkReset:
 		sim.network.Reset(touches)
 	case schedule.LinkHold:
-		heal := sim.network.Cut(touches)
-		time.Sleep(event.For)
+		heal := sim.network.Block(touches)
+		time.Sleep(event.Duration)
 		heal()
 	case schedule.LinkSlow:
 		heal := sim.network.Slow(func(p simnet.Path) time.Duration {
@@ -328,7 +328,7 @@
 			}
 			return 0
 		})
-		time.Sleep(event.For)
+		time.Sleep(event.Duration)
 		heal()
 	}
 	endFault()
@@ -343,7 +343,7 @@
 		m.terminate()
 		sim.startAll([]*machine{m})
 		endFault()
-		time.Sleep(event.For - time.Since(began))
+		time.Sleep(event.Duration - time.Since(began))
 	}
 }
 
--- a/internal/testkit/controlplanesim/history/types.go
+++ b/internal/testkit/controlplanesim/history/types.go
@@ -9,7 +9,7 @@
 type History struct {
 	Bounds        Bounds
 	Tolerance     int // number of machines that may be lost at the same time
-	Wanted        int // target number of voters per group, at most the number of machines
+	TargetVoters        int // target number of voters per group, at most the number of machines
 	Agents        int
 	End           time.Duration
 	Operations    []Operation
@@ -119,7 +119,7 @@
 
 // Fault is a fault injected into the core (the control plane servers) or into agents.
 type Fault struct {
-	What    string
+	Description    string
 	From    time.Duration
 	To      time.Duration
 	Core    bool  // the core is unstable for Bounds.Contact after From and after To
@@ -147,14 +147,14 @@
 type Voter struct {
 	ID      uint64
 	Slot    int
-	Gone    bool   // its disk was lost or its machine was replaced
+	Lost    bool   // its disk was lost or its machine was replaced
 	Durable uint64 // highest log index that is durable on its disk
 }
 
 // String returns the voter's ID, slot and highest durable index.
 func (v Voter) String() string {
 	gone := ""
-	if v.Gone {
+	if v.Lost {
 		gone = ", gone"
 	}
 	return fmt.Sprintf("%x at slot %d, durable to %d%s", v.ID, v.Slot, v.Durable, gone)
@@ -176,7 +176,7 @@
 	CheckOneBody      = "one-body"      // each generation has exactly one content
 	CheckLinearizable = "linearizable"  // some sequential execution of orders and reads explains all answers
 	CheckFreshViews   = "fresh-views"   // an agent in contact shows every change within ConfigApply of its acknowledgement
-	CheckForwardViews = "forward-views" // an agent's generation never decreases within an incarnation
+	CheckMonotonicViews = "forward-views" // an agent's generation never decreases within an incarnation
 	CheckDepartures   = "departures"    // no acknowledged drain or departure is lost
 	CheckRegistration = "registrations" // an agent in contact shows every worker whose heartbeat was acknowledged
 	CheckServeAgain   = "serve-again"   // some operation is answered within ServeAgain of each disruption
@@ -186,7 +186,7 @@
 
 // Check runs every check and returns the first violation that each one found.
 func (h History) Check() []Violation {
-	checks := []func(History) []Violation{checkOrders, checkOneBody, checkLinearizable, checkFreshViews, checkForwardViews, checkDepartures,
+	checks := []func(History) []Violation{checkOrders, checkOneBody, checkLinearizable, checkFreshViews, checkMonotonicViews, checkDepartures,
 		checkRegistrations, checkServeAgain, checkMajority, checkIsolated}
 	var found []Violation
 	for _, check := range checks {
--- a/internal/testkit/controlplanesim/machine.go
+++ b/internal/testkit/controlplanesim/machine.go
@@ -82,7 +82,7 @@
 		Dial:            incarnation.process.Dial,
 		Listen:          incarnation.process.Listen,
 		OnGroupStatus:   func(status replica.Status) { sim.recorder.observe(m, status) },
-		SnapshotEntries: uint64(sim.schedule.SnapshotEntries), RememberedChanges: sim.schedule.Remembered,
+		SnapshotEntries: uint64(sim.schedule.SnapshotEntries), RememberedChanges: sim.schedule.RememberedChanges,
 		OmitGuards: sim.omissions.server, OmitConsensusRules: sim.omissions.consensus, OmitConfigurationRules: sim.omissions.configuration,
 	}
 }
--- a/internal/testkit/controlplanesim/record.go
+++ b/internal/testkit/controlplanesim/record.go
@@ -228,7 +228,7 @@
 		}
 		voter := history.Voter{ID: uint64(member.ID), Slot: -1}
 		if known := r.members[member.ID]; known != nil {
-			voter.Slot, voter.Gone, voter.Durable = known.machine.slot, known.diskLost || known.machine.isRetired(), known.durable[shard]
+			voter.Slot, voter.Lost, voter.Durable = known.machine.slot, known.diskLost || known.machine.isRetired(), known.durable[shard]
 		}
 		current.Voters = append(current.Voters, voter)
 	}
@@ -262,7 +262,7 @@
 	r.history.End, r.history.Bounds = r.now(), bounds
 	r.history.Tolerance, r.history.Agents = s.Tolerance, s.Agents
 	r.history.Faults = append(r.history.Faults, history.Fault{
-		What: "formation", To: formationTime, Core: true, Lasting: true, Lost: r.simulation.allSlots(), Until: formationTime,
+		Description: "formation", To: formationTime, Core: true, Lasting: true, Lost: r.simulation.allSlots(), Until: formationTime,
 	})
-	r.history.Wanted = min(max(2*s.Tolerance+1, seedCount), s.Servers)
+	r.history.TargetVoters = min(max(2*s.Tolerance+1, seedCount), s.Servers)
 }
--- a/internal/testkit/controlplanesim/simnet/network.go
+++ b/internal/testkit/controlplanesim/simnet/network.go
@@ -42,7 +42,7 @@
 }
 
 // Cut blocks all paths for which blocks returns true, until heal is called.
-func (n *Network) Cut(blocks func(Path) bool) (heal func()) {
+func (n *Network) Block(blocks func(Path) bool) (heal func()) {
 	n.mutex.Lock()
 	n.lastRule++
 	number := n.lastRule
@@ -82,14 +82,14 @@
 }
 
 // Open reports whether data that is sent along the path now arrives.
-func (n *Network) Open(path Path) bool {
+func (n *Network) Reachable(path Path) bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	return !n.blocked(path)
 }
 
 // Changed returns a channel that is closed when paths open or close.
-func (n *Network) Changed() <-chan struct{} {
+func (n *Network) PathsChanged() <-chan struct{} {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	return n.changed
--- a/internal/testkit/controlplanesim/simnet/process.go
+++ b/internal/testkit/controlplanesim/simnet/process.go
@@ -70,7 +70,7 @@
 func (p *Process) Ended() <-chan struct{} { return p.ended }
 
 // Await blocks while the process is frozen. It returns true if the process runs and false if it is dead.
-func (p *Process) Await() bool {
+func (p *Process) AwaitRunning() bool {
 	for {
 		p.mutex.Lock()
 		frozen, dead := p.frozen, p.dead
@@ -90,7 +90,7 @@
 
 // Now returns the time of the process's clock. It blocks while the process is frozen. With StallClock it may return late.
 func (p *Process) Now() time.Time {
-	p.Await()
+	p.AwaitRunning()
 	now := time.Now()
 	p.mutex.Lock()
 	stall := p.stall
@@ -98,7 +98,7 @@
 	if stall != nil {
 		if late := stall(); late > 0 {
 			time.Sleep(late)
-			p.Await()
+			p.AwaitRunning()
 		}
 	}
 	return now
--- a/internal/testkit/controlplanesim/slow_events.go
+++ b/internal/testkit/controlplanesim/slow_events.go
@@ -46,7 +46,7 @@
 // playQuota lets processes run only for a part of each period. It is not recorded as a fault.
 func (sim *simulation) playQuota(_ context.Context, event schedule.Event) {
 	share := quotaPeriod * time.Duration(event.Count) / 100
-	end := time.Now().Add(event.For)
+	end := time.Now().Add(event.Duration)
 	var playing sync.WaitGroup
 	limit := func(index int, freeze func() (thaw func())) {
 		playing.Go(func() {
@@ -92,13 +92,13 @@
 func (sim *simulation) playStall(_ context.Context, event schedule.Event) {
 	targets := sim.machinesAt(event.Servers)
 	endFault := sim.recorder.beginFault(history.Fault{
-		What: event.String(), Core: true, Lasting: true, Lost: event.Servers, Stalled: addressesOf(targets), MaxStall: maxStall,
+		Description: event.String(), Core: true, Lasting: true, Lost: event.Servers, Stalled: addressesOf(targets), MaxStall: maxStall,
 	})
 	var ends []func()
 	for _, m := range targets {
 		ends = append(ends, m.stallClock(sim.sharedRandom("stall "+m.ip, int(event.At/time.Millisecond))))
 	}
-	time.Sleep(event.For)
+	time.Sleep(event.Duration)
 	for _, end := range ends {
 		end()
 	}
@@ -130,7 +130,7 @@
 		hosts[m.ip] = true
 		m.wipe()
 	}
-	time.Sleep(event.For / 4)
+	time.Sleep(event.Duration / 4)
 	heal := sim.network.Slow(func(p simnet.Path) time.Duration {
 		if hosts[p.From] && !hosts[p.To] {
 			return slowLinkDelay
@@ -138,12 +138,12 @@
 		return 0
 	})
 	sim.startAll(targets)
-	time.Sleep(event.For)
+	time.Sleep(event.Duration)
 	for _, m := range targets {
 		m.wipe()
 	}
 	heal()
-	time.Sleep(event.For / 8)
+	time.Sleep(event.Duration / 8)
 	sim.startAll(targets)
 	endFault()
 }
