--- a/cmd/inference-router/measure_catchup.go
+++ b/cmd/inference-router/measure_catchup.go
@@ -41,7 +41,7 @@
 	defer stop()
 	result := catchupbench.Result{Build: buildRevision(), Command: fmt.Sprintf("inference-router measure catchup --away %s --routes %d --rate %d --replace-every %d",
 		c.Absences, c.Routes, c.Rate, c.ReplaceEvery)}
-	result.Steps, err = catchupbench.Play(ctx, catchupbench.Plan{Directory: directory, Routes: c.Routes, Rate: c.Rate, ReplaceEvery: c.ReplaceEvery,
+	result.Steps, err = catchupbench.Run(ctx, catchupbench.Plan{Directory: directory, Routes: c.Routes, Rate: c.Rate, ReplaceEvery: c.ReplaceEvery,
 		Offline: absences, Limit: c.Limit, Progress: stdout})
 	if err != nil {
 		fmt.Fprintln(stderr, "measure catchup:", err)
--- a/internal/testkit/catchupbench/plan.go
+++ b/internal/testkit/catchupbench/plan.go
@@ -16,18 +16,18 @@
 	"ospreybend/internal/controlplane/peertransport"
 )
 
-// Manner is the way in which a member returns to the group.
-type Manner string
+// ReturnMode is the way in which a member returns to the group.
+type ReturnMode string
 
-// Manners of return.
+// Return modes.
 const (
-	Restarted Manner = "restarted" // with its disk and ID
-	Wiped     Manner = "wiped"     // at the same address with an empty disk and a new ID
-	Replaced  Manner = "replaced"  // by a new member at another address
+	Restarted ReturnMode = "restarted" // with its disk and ID
+	Wiped     ReturnMode = "wiped"     // at the same address with an empty disk and a new ID
+	Replaced  ReturnMode = "replaced"  // by a new member at another address
 )
 
-// Manners returns all manners in the order in which they are measured.
-func Manners() []Manner { return []Manner{Restarted, Wiped, Replaced} }
+// ReturnModes returns all return modes in the order in which they are measured.
+func ReturnModes() []ReturnMode { return []ReturnMode{Restarted, Wiped, Replaced} }
 
 // Plan holds the parameters of a measurement.
 type Plan struct {
@@ -35,21 +35,21 @@
 	Routes       int             // number of routes in the configuration
 	Rate         int             // changes per second, also while a member catches up
 	ReplaceEvery int             // one in this many changes replaces the complete document
-	Offline      []time.Duration // times that members are offline, each measured with every Manner
+	Offline      []time.Duration // times that members are offline, each measured with every ReturnMode
 	Limit        time.Duration   // time limit for a member to catch up, and for each other wait
 	Progress     io.Writer       // receives one line per step; may be nil
 }
 
 // Step is the measurement of one return of a member. The JSON names are those of earlier results and must not change.
 type Step struct {
-	Manner  Manner        `json:"Manner"`
-	Offline time.Duration `json:"Away"`
-	Lacked  int           `json:"Lacked"`  // changes made while it was offline
-	Took    time.Duration `json:"Took"`    // from its start until it had caught up with the leader
-	Voting  time.Duration `json:"Voting"`  // from its start until it was a voter again
-	Bytes   int64         `json:"Bytes"`   // bytes sent to it until it had caught up
-	OnDisk  int64         `json:"OnDisk"`  // disk usage of its replica at that time
-	Leading int64         `json:"Leading"` // disk usage of the leader's replica at that time
+	Mode            ReturnMode    `json:"Manner"`
+	Offline         time.Duration `json:"Away"`
+	MissedChanges   int           `json:"Lacked"`  // changes made while it was offline
+	CatchUpTime     time.Duration `json:"Took"`    // from its start until it had caught up with the leader
+	TimeToVoter     time.Duration `json:"Voting"`  // from its start until it was a voter again
+	Bytes           int64         `json:"Bytes"`   // bytes sent to it until it had caught up
+	DiskBytes       int64         `json:"OnDisk"`  // disk usage of its replica at that time
+	LeaderDiskBytes int64         `json:"Leading"` // disk usage of the leader's replica at that time
 }
 
 // Errors of a measurement.
@@ -97,9 +97,9 @@
 // pollInterval is the interval at which the state of a replica is polled.
 const pollInterval = time.Millisecond
 
-// Play measures the return of a member for each offline time and manner of the plan. On an error it also returns the completed
+// Run measures the return of a member for each offline time of the plan and each return mode. On an error it also returns the completed
 // steps.
-func Play(ctx context.Context, plan Plan) ([]Step, error) {
+func Run(ctx context.Context, plan Plan) ([]Step, error) {
 	g := &testGroup{plan: plan, traffic: newTraffic()}
 	defer g.stop()
 	if err := g.bootstrap(); err != nil {
@@ -107,10 +107,10 @@
 	}
 	var steps []Step
 	for _, offline := range plan.Offline {
-		for _, manner := range Manners() {
-			step, err := g.measure(ctx, manner, offline)
+		for _, mode := range ReturnModes() {
+			step, err := g.measure(ctx, mode, offline)
 			if err != nil {
-				return steps, fmt.Errorf("measure a member that is %s after %v offline: %w", manner, offline, err)
+				return steps, fmt.Errorf("measure a member that is %s after %v offline: %w", mode, offline, err)
 			}
 			steps = append(steps, step)
 			if plan.Progress != nil {
@@ -223,8 +223,8 @@
 	}
 }
 
-// measure stops a follower, makes the changes that occur while it is offline, and has it return in the given manner.
-func (g *testGroup) measure(ctx context.Context, manner Manner, offline time.Duration) (Step, error) {
+// measure stops a follower, makes the changes that occur while it is offline, and has it return in the given mode.
+func (g *testGroup) measure(ctx context.Context, mode ReturnMode, offline time.Duration) (Step, error) {
 	if err := g.proposeNextChange(ctx); err != nil {
 		return Step{}, err
 	}
@@ -244,7 +244,7 @@
 			return Step{}, err
 		}
 	}
-	step := Step{Manner: manner, Offline: offline, Lacked: missed}
+	step := Step{Mode: mode, Offline: offline, MissedChanges: missed}
 	changesCtx, endChanges := context.WithCancel(ctx)
 	changes := make(chan error, 1)
 	go func() { changes <- g.makeChanges(changesCtx) }()
@@ -256,12 +256,12 @@
 // returnMember starts the stopped member or its replacement and measures how long it takes to catch up.
 func (g *testGroup) returnMember(ctx context.Context, stopped *member, step *Step) error {
 	self, address := stopped.self, stopped.self.Address
-	if step.Manner != Restarted {
+	if step.Mode != Restarted {
 		g.lastID++
 		if err := stopped.deleteDisk(); err != nil {
 			return err
 		}
-		if step.Manner == Replaced {
+		if step.Mode == Replaced {
 			address = "127.0.0.1:0"
 		}
 	}
@@ -269,7 +269,7 @@
 	if err != nil {
 		return err
 	}
-	if step.Manner != Restarted {
+	if step.Mode != Restarted {
 		self = consensus.Member{ID: g.lastID, Address: listener.Addr().String()}
 	}
 	sent := g.traffic.sentTo(self.Address)
@@ -283,25 +283,25 @@
 	if err != nil {
 		return err
 	}
-	if step.Manner != Restarted {
+	if step.Mode != Restarted {
 		err = errors.Join(g.changeMembership(ctx, replica.MembershipChange{Remove: stopped.self.ID}), g.changeMembership(ctx, replica.MembershipChange{Add: &self}))
 	}
 	if err != nil {
 		return err
 	}
 	err = g.pollUntil(ctx, errNotCurrent, func() bool { return returned.applied() > 1 && returned.applied()+1 >= leader.applied() })
-	step.Took, step.Bytes, step.OnDisk = time.Since(began), sent.Load()-before, returned.group.Status().DiskBytes
-	step.Leading = leader.group.Status().DiskBytes
+	step.CatchUpTime, step.Bytes, step.DiskBytes = time.Since(began), sent.Load()-before, returned.group.Status().DiskBytes
+	step.LeaderDiskBytes = leader.group.Status().DiskBytes
 	if err != nil {
 		return err
 	}
-	if step.Manner == Restarted {
-		step.Voting = step.Took
+	if step.Mode == Restarted {
+		step.TimeToVoter = step.CatchUpTime
 		return nil
 	}
 	self.Voter = true
 	err = g.changeMembership(ctx, replica.MembershipChange{Add: &self})
-	step.Voting = time.Since(began)
+	step.TimeToVoter = time.Since(began)
 	return err
 }
 
--- a/internal/testkit/catchupbench/result.go
+++ b/internal/testkit/catchupbench/result.go
@@ -20,14 +20,14 @@
 // String returns the step on one line.
 func (s Step) String() string {
 	return fmt.Sprintf("%-9s offline %6v, %4d changes missed: caught up after %4d ms, voter after %4d ms, %6d KiB sent to it, %5d KiB on its disk, %5d KiB on the leader's disk",
-		s.Manner, s.Offline, s.Lacked, s.Took.Milliseconds(), s.Voting.Milliseconds(), s.Bytes>>10, s.OnDisk>>10, s.Leading>>10)
+		s.Mode, s.Offline, s.MissedChanges, s.CatchUpTime.Milliseconds(), s.TimeToVoter.Milliseconds(), s.Bytes>>10, s.DiskBytes>>10, s.LeaderDiskBytes>>10)
 }
 
 // Slowest returns the longest time that a member took to catch up.
 func (r Result) Slowest() time.Duration {
 	slowest := time.Duration(0)
 	for _, step := range r.Steps {
-		slowest = max(slowest, step.Took)
+		slowest = max(slowest, step.CatchUpTime)
 	}
 	return slowest
 }
@@ -51,8 +51,8 @@
 	legendStep   = 14
 )
 
-// colours maps each manner to the colour of its points in the plot.
-var colours = map[Manner]string{Restarted: "#1f77b4", Wiped: "#d62728", Replaced: "#2ca02c"}
+// colours maps each return mode to the colour of its points in the plot.
+var colours = map[ReturnMode]string{Restarted: "#1f77b4", Wiped: "#d62728", Replaced: "#2ca02c"}
 
 // WriteSVG plots the time to catch up and the bytes sent against the number of missed changes.
 func (r Result) WriteSVG(out io.Writer) error {
@@ -61,7 +61,7 @@
 		2*plotWidth, plotHeight+captionSpace)
 	text.WriteString(`<rect width="100%" height="100%" fill="white"/>` + "\n")
 	fmt.Fprintf(&text, `<text x="12" y="20">%s</text>`+"\n", html.EscapeString(r.Command))
-	r.panel(&text, 0, "time to catch up, ms", func(s Step) float64 { return float64(s.Took.Milliseconds()) })
+	r.panel(&text, 0, "time to catch up, ms", func(s Step) float64 { return float64(s.CatchUpTime.Milliseconds()) })
 	r.panel(&text, plotWidth, "sent to the member, KiB", func(s Step) float64 { return float64(s.Bytes) / 1024 })
 	text.WriteString("</svg>\n")
 	_, err := io.WriteString(out, text.String())
@@ -72,7 +72,7 @@
 func (r Result) panel(text *strings.Builder, left int, title string, value func(Step) float64) {
 	maxValue, maxLog := 1.0, 1.0
 	for _, step := range r.Steps {
-		maxValue, maxLog = max(maxValue, value(step)), max(maxLog, math.Log10(float64(step.Lacked)))
+		maxValue, maxLog = max(maxValue, value(step)), max(maxLog, math.Log10(float64(step.MissedChanges)))
 	}
 	x := func(missed float64) float64 {
 		return plotLeft + math.Log10(missed)/maxLog*(plotWidth-plotLeft-plotRight)
@@ -89,13 +89,13 @@
 		fmt.Fprintf(text, `<text x="%.0f" y="%d" text-anchor="middle">%.0f</text>`+"\n", x(tick), plotHeight-plotBottom+16, tick)
 	}
 	fmt.Fprintf(text, `<text x="%d" y="%d" text-anchor="middle">missed changes</text>`+"\n", plotWidth/2, plotHeight-6)
-	for i, manner := range Manners() {
+	for i, mode := range ReturnModes() {
 		for _, step := range r.Steps {
-			if step.Manner == manner {
-				fmt.Fprintf(text, `<circle cx="%.1f" cy="%.1f" r="3" fill="%s"/>`+"\n", x(float64(step.Lacked)), y(value(step)), colours[manner])
+			if step.Mode == mode {
+				fmt.Fprintf(text, `<circle cx="%.1f" cy="%.1f" r="3" fill="%s"/>`+"\n", x(float64(step.MissedChanges)), y(value(step)), colours[mode])
 			}
 		}
-		fmt.Fprintf(text, `<text x="%d" y="%d" fill="%s">%s</text>`+"\n", plotLeft+8, plotTop+legendStep*(i+1), colours[manner], manner)
+		fmt.Fprintf(text, `<text x="%d" y="%d" fill="%s">%s</text>`+"\n", plotLeft+8, plotTop+legendStep*(i+1), colours[mode], mode)
 	}
 	text.WriteString("</g>\n")
 }
--- a/internal/testkit/catchupbench/result_test.go
+++ b/internal/testkit/catchupbench/result_test.go
@@ -10,7 +10,7 @@
 // TestResult_WriteJSON_memberNames verifies that the names of JSON members stay those of earlier recorded results.
 func TestResult_WriteJSON_memberNames(t *testing.T) {
 	result := Result{Command: "c", Build: "b", Steps: []Step{{
-		Manner: Wiped, Offline: time.Microsecond, Lacked: 2, Took: 3, Voting: 4, Bytes: 5, OnDisk: 6, Leading: 7,
+		Mode: Wiped, Offline: time.Microsecond, MissedChanges: 2, CatchUpTime: 3, TimeToVoter: 4, Bytes: 5, DiskBytes: 6, LeaderDiskBytes: 7,
 	}}}
 	var written, compact bytes.Buffer
 	if err := result.WriteJSON(&written); err != nil {
--- a/internal/testkit/controlplanesim/call.go
+++ b/internal/testkit/controlplanesim/call.go
@@ -38,11 +38,11 @@
 		answered <- server.APIResponse{} // the port refuses
 		return
 	}
-	if !process.Await() {
+	if !process.AwaitRunning() {
 		return
 	}
 	response := served.Handle(context.Background(), request)
-	if !process.Await() || w.losesReplies(from) {
+	if !process.AwaitRunning() || w.losesReplies(from) {
 		return
 	}
 	if w.travel(ctx, simnet.Path{From: to.ip, To: from}) {
@@ -53,11 +53,11 @@
 // travel waits until a message has arrived along a path. It returns false if ctx ends before.
 func (w *world) travel(ctx context.Context, path simnet.Path) bool {
 	for {
-		changed := w.network.Changed()
+		changed := w.network.PathsChanged()
 		if !simnet.Sleep(ctx, w.network.Delay(path)) {
 			return false
 		}
-		if w.network.Open(path) {
+		if w.network.Reachable(path) {
 			return true
 		}
 		select {
--- a/internal/testkit/controlplanesim/campaign/focus.go
+++ b/internal/testkit/controlplanesim/campaign/focus.go
@@ -37,21 +37,21 @@
 
 	"configuration.base-ahead-open":    {families: repeatedOrders},
 	"configuration.forgotten-open":     {families: repeatedOrders},
-	"configuration.generation-rises":   {families: []schedule.Family{schedule.FamilyBad}},
+	"configuration.generation-rises":   {families: []schedule.Family{schedule.FamilyInvalidConfig}},
 	"configuration.repeat-is-of-order": {families: repeatedOrders},
 	"configuration.repeat-snapshot":    {families: []schedule.Family{schedule.FamilyRace, schedule.FamilyBurst, schedule.FamilyAllDown}},
 
-	"keeper.beat-current":      {families: []schedule.Family{schedule.FamilyCut, schedule.FamilyOldLeader, schedule.FamilyWorkers}},
-	"keeper.beat-recorded":     {families: []schedule.Family{schedule.FamilyCut, schedule.FamilyWorkers}},
+	"keeper.beat-current":      {families: []schedule.Family{schedule.FamilyPartition, schedule.FamilyOldLeader, schedule.FamilyWorkers}},
+	"keeper.beat-recorded":     {families: []schedule.Family{schedule.FamilyPartition, schedule.FamilyWorkers}},
 	"keeper.ownership-barrier": {families: []schedule.Family{schedule.FamilyElection, schedule.FamilyWorkers, schedule.FamilyStall}},
 	"keeper.ownership-term":    {families: []schedule.Family{schedule.FamilyOldLeader, schedule.FamilyWorkers}},
 	"keeper.orphans":           {families: []schedule.Family{schedule.FamilySync, schedule.FamilyRejoin}},
 	"keeper.identity-asked":    {families: []schedule.Family{schedule.FamilyRejoin, schedule.FamilyLink}},
 	"keeper.replaced-retired":  {families: []schedule.Family{schedule.FamilyRejoin, schedule.FamilyChain}},
 	"keeper.promoted-durable":  {families: []schedule.Family{schedule.FamilyChain, schedule.FamilyRejoin, schedule.FamilyDisk}},
-	"keeper.successor-ready":   {families: []schedule.Family{schedule.FamilyRoll, schedule.FamilyChain}},
+	"keeper.successor-ready":   {families: []schedule.Family{schedule.FamilyRollingRestart, schedule.FamilyChain}},
 	"keeper.voters-odd":        {families: []schedule.Family{schedule.FamilyChain, schedule.FamilyMachine}},
-	"agent.leave-stale":        {families: []schedule.Family{schedule.FamilyCut, schedule.FamilyOldLeader}},
+	"agent.leave-stale":        {families: []schedule.Family{schedule.FamilyPartition, schedule.FamilyOldLeader}},
 }
 
 // Focused returns the shape for the campaign of the guards that it omits.
--- a/internal/testkit/controlplanesim/cutoff_test.go
+++ b/internal/testkit/controlplanesim/cutoff_test.go
@@ -67,16 +67,16 @@
 func cutScenarios() []cutScenario {
 	var all []cutScenario
 	for _, follower := range []bool{false, true} {
-		for _, variant := range []schedule.Variant{schedule.CutServers, schedule.CutSide, schedule.CutInward, schedule.CutOutward, ""} {
+		for _, variant := range []schedule.Variant{schedule.PartitionServers, schedule.PartitionSide, schedule.PartitionInbound, schedule.PartitionOutbound, ""} {
 			all = append(all, cutScenario{variant: variant, follower: follower})
 		}
 		all = append(all,
-			cutScenario{variant: schedule.CutSide, follower: follower, agents: []int{0, 1}},
-			cutScenario{variant: schedule.CutServers, follower: follower, restart: true},
-			cutScenario{variant: schedule.CutSide, follower: follower, agents: []int{0}, restart: true},
-			cutScenario{variant: schedule.CutServers, follower: follower, restart: true, wiped: true},
-			cutScenario{variant: schedule.CutServers, follower: follower, early: true},
-			cutScenario{variant: schedule.CutServers, follower: follower, others: true},
+			cutScenario{variant: schedule.PartitionSide, follower: follower, agents: []int{0, 1}},
+			cutScenario{variant: schedule.PartitionServers, follower: follower, restart: true},
+			cutScenario{variant: schedule.PartitionSide, follower: follower, agents: []int{0}, restart: true},
+			cutScenario{variant: schedule.PartitionServers, follower: follower, restart: true, wiped: true},
+			cutScenario{variant: schedule.PartitionServers, follower: follower, early: true},
+			cutScenario{variant: schedule.PartitionServers, follower: follower, others: true},
 		)
 	}
 	return all
@@ -125,7 +125,7 @@
 func (w *world) cutOff(ctx context.Context, c cutScenario, victim int) (began, ended time.Duration) {
 	began = w.record.now()
 	event := schedule.Event{
-		At: began, Kind: schedule.Cut, Variant: c.variant, Servers: []int{victim}, Agents: c.agents, For: cutFor, Restart: c.restart,
+		At: began, Kind: schedule.Partition, Variant: c.variant, Servers: []int{victim}, Agents: c.agents, Duration: cutFor, Restart: c.restart,
 		Operators: []int{insideOperator}, Workers: []int{steadyWorker, drainWorker, leaveWorker},
 	}
 	during, stop := context.WithTimeout(ctx, cutFor)
@@ -167,7 +167,7 @@
 
 // restartOthers restarts the processes of all but one server at once, and sends orders as soon as they can be accepted.
 func (w *world) restartOthers(ctx context.Context, victim int) {
-	over := w.record.beginFault(history.Fault{What: "all others are killed", Core: true, Lost: w.allSlots()})
+	over := w.record.beginFault(history.Fault{Description: "all others are killed", Core: true, Lost: w.allSlots()})
 	var others []*machine
 	for _, m := range w.currentMachines() {
 		if m.slot != victim {
@@ -261,14 +261,14 @@
 	scenario cutScenario
 	seed     uint64 // from which on one of twenty shows it
 }{
-	{"keeper.read-confirmed", cutScenario{variant: schedule.CutServers, others: true}, 1},
-	{"agreement.read-confirmed", cutScenario{variant: schedule.CutServers, others: true}, 20},
-	{"keeper.feed-current", cutScenario{variant: schedule.CutServers}, 1},
-	{"keeper.beat-current", cutScenario{variant: schedule.CutServers, follower: true}, 1},
-	{"keeper.beat-recorded", cutScenario{variant: schedule.CutServers, follower: true, early: true}, 1},
-	{"keeper.founding-once", cutScenario{variant: schedule.CutServers, restart: true, wiped: true}, 1},
-	{"agreement.commit-majority", cutScenario{variant: schedule.CutServers}, 1},
-	{GuardLeaveStale, cutScenario{variant: schedule.CutServers}, 1},
+	{"keeper.read-confirmed", cutScenario{variant: schedule.PartitionServers, others: true}, 1},
+	{"agreement.read-confirmed", cutScenario{variant: schedule.PartitionServers, others: true}, 20},
+	{"keeper.feed-current", cutScenario{variant: schedule.PartitionServers}, 1},
+	{"keeper.beat-current", cutScenario{variant: schedule.PartitionServers, follower: true}, 1},
+	{"keeper.beat-recorded", cutScenario{variant: schedule.PartitionServers, follower: true, early: true}, 1},
+	{"keeper.founding-once", cutScenario{variant: schedule.PartitionServers, restart: true, wiped: true}, 1},
+	{"agreement.commit-majority", cutScenario{variant: schedule.PartitionServers}, 1},
+	{GuardLeaveStale, cutScenario{variant: schedule.PartitionServers}, 1},
 }
 
 func TestCut_eachGuardIsNeeded(t *testing.T) {
--- a/internal/testkit/controlplanesim/disk.go
+++ b/internal/testkit/controlplanesim/disk.go
@@ -117,7 +117,7 @@
 	if takes > 0 {
 		time.Sleep(takes)
 	}
-	return d.process.Await()
+	return d.process.AwaitRunning()
 }
 
 func (d processDisk) MakeDirectory(directory string) error {
--- a/internal/testkit/controlplanesim/events.go
+++ b/internal/testkit/controlplanesim/events.go
@@ -33,7 +33,7 @@
 
 func (w *world) playEvent(ctx context.Context, event schedule.Event) {
 	time.Sleep(event.At - w.record.now())
-	if event.On != "" && !w.awaitTrigger(event.On, event.Servers) {
+	if event.Trigger != "" && !w.awaitTrigger(event.Trigger, event.Servers) {
 		return
 	}
 	time.Sleep(event.Delay)
@@ -45,32 +45,32 @@
 
 func (w *world) players() map[schedule.Kind]func(context.Context, schedule.Event) {
 	return map[schedule.Kind]func(context.Context, schedule.Event){
-		schedule.Kill:        w.playDown((*machine).kill),
-		schedule.Power:       w.playDown((*machine).losePower),
-		schedule.Wipe:        w.playDown((*machine).wipe),
-		schedule.Freeze:      w.playFreeze,
-		schedule.Cut:         w.playCut,
-		schedule.Replace:     w.playReplace,
-		schedule.Disk:        w.playDisk,
-		schedule.Link:        w.playLink,
-		schedule.KillAll:     w.playAllDown((*machine).kill),
-		schedule.PowerAll:    w.playAllDown((*machine).losePower),
-		schedule.RestartAll:  w.playAllDown((*machine).terminate),
-		schedule.Roll:        w.playRoll,
-		schedule.LoseReplies: w.playLoseReplies,
-		schedule.Race:        w.playRace,
-		schedule.Burst:       w.playBurst,
-		schedule.Bad:         w.playBad,
-		schedule.Worker:      w.playWorkers,
-		schedule.Quota:       w.playQuota,
-		schedule.Stall:       w.playStall,
-		schedule.Rewipe:      w.playRewipe,
+		schedule.Kill:           w.playDown((*machine).kill),
+		schedule.Power:          w.playDown((*machine).losePower),
+		schedule.Wipe:           w.playDown((*machine).wipe),
+		schedule.Freeze:         w.playFreeze,
+		schedule.Partition:      w.playCut,
+		schedule.Replace:        w.playReplace,
+		schedule.Disk:           w.playDisk,
+		schedule.Link:           w.playLink,
+		schedule.KillAll:        w.playAllDown((*machine).kill),
+		schedule.PowerAll:       w.playAllDown((*machine).losePower),
+		schedule.RestartAll:     w.playAllDown((*machine).terminate),
+		schedule.RollingRestart: w.playRoll,
+		schedule.LoseReplies:    w.playLoseReplies,
+		schedule.Race:           w.playRace,
+		schedule.Burst:          w.playBurst,
+		schedule.InvalidConfig:  w.playBad,
+		schedule.Worker:         w.playWorkers,
+		schedule.Quota:          w.playQuota,
+		schedule.Stall:          w.playStall,
+		schedule.WipeTwice:      w.playRewipe,
 	}
 }
 
 // beginCoreFault records a fault of the core; over records its end.
 func (w *world) beginCoreFault(event schedule.Event, lost []int) (over func()) {
-	return w.record.beginFault(history.Fault{What: event.String(), Core: true, Lost: lost})
+	return w.record.beginFault(history.Fault{Description: event.String(), Core: true, Lost: lost})
 }
 
 // playDown takes machines down in a way, and starts them again.
@@ -81,7 +81,7 @@
 		for _, m := range struck {
 			down(m)
 		}
-		time.Sleep(event.For)
+		time.Sleep(event.Duration)
 		w.startAll(struck)
 		over()
 	}
@@ -99,7 +99,7 @@
 // playAllDown takes all of the core down; the event's servers lose their disks too.
 func (w *world) playAllDown(down func(*machine)) func(context.Context, schedule.Event) {
 	return func(_ context.Context, event schedule.Event) {
-		over := w.record.beginFault(history.Fault{What: event.String(), Core: true, Lasting: true, Lost: w.allSlots()})
+		over := w.record.beginFault(history.Fault{Description: event.String(), Core: true, Lasting: true, Lost: w.allSlots()})
 		all := w.currentMachines()
 		var going sync.WaitGroup
 		for _, m := range all {
@@ -111,7 +111,7 @@
 			})
 		}
 		going.Wait()
-		time.Sleep(event.For)
+		time.Sleep(event.Duration)
 		w.startAll(all)
 		over()
 	}
@@ -127,7 +127,7 @@
 
 func (w *world) playFreeze(_ context.Context, event schedule.Event) {
 	over := w.record.beginFault(history.Fault{
-		What: event.String(), Core: len(event.Servers) > 0, Agents: event.Agents, Lost: event.Servers,
+		Description: event.String(), Core: len(event.Servers) > 0, Agents: event.Agents, Lost: event.Servers,
 	})
 	var thaw []func()
 	for _, m := range w.machinesAt(event.Servers) {
@@ -139,7 +139,7 @@
 			thaw = append(thaw, process.Thaw)
 		}
 	}
-	time.Sleep(event.For)
+	time.Sleep(event.Duration)
 	for _, end := range thaw {
 		end()
 	}
@@ -150,14 +150,14 @@
 func (w *world) playCut(_ context.Context, event schedule.Event) {
 	struck := w.machinesAt(event.Servers)
 	over := w.record.beginFault(history.Fault{
-		What: event.String(), Core: true, Agents: event.Agents, Lost: event.Servers, Isolated: addressesOf(struck), Lease: cutLease(event.Variant, len(event.Servers)),
+		Description: event.String(), Core: true, Agents: event.Agents, Lost: event.Servers, Isolated: addressesOf(struck), Lease: cutLease(event.Variant, len(event.Servers)),
 	})
-	heal := w.network.Cut(w.blockedPaths(event, struck))
+	heal := w.network.Block(w.blockedPaths(event, struck))
 	w.restrictTo(event, struck)
 	if event.Restart {
 		w.restartBehind(event, struck)
 	} else {
-		time.Sleep(event.For)
+		time.Sleep(event.Duration)
 	}
 	heal()
 	w.restrictTo(event, nil)
@@ -185,7 +185,7 @@
 // cutLease returns for how long servers that are cut off together may still acknowledge what changes nothing.
 func cutLease(variant schedule.Variant, servers int) time.Duration {
 	lease := isolatedLease
-	if variant == schedule.CutOutward {
+	if variant == schedule.PartitionOutbound {
 		lease = outwardLease
 	}
 	if servers > 1 {
@@ -211,13 +211,13 @@
 	for _, m := range struck {
 		seeds = append(seeds, controlAddress(m.ip))
 	}
-	time.Sleep(event.For / 3)
+	time.Sleep(event.Duration / 3)
 	taken := make(map[*machine]bool)
 	for _, m := range struck {
 		taken[m] = m.isMember()
 		m.kill()
 	}
-	time.Sleep(event.For / 10)
+	time.Sleep(event.Duration / 10)
 	for _, m := range struck {
 		if taken[m] {
 			m.start(seeds, false)
@@ -225,7 +225,7 @@
 			m.start(w.seeds(), false)
 		}
 	}
-	time.Sleep(event.For - event.For/3 - event.For/10)
+	time.Sleep(event.Duration - event.Duration/3 - event.Duration/10)
 }
 
 // blockedPaths returns which paths a cut blocks.
@@ -239,13 +239,13 @@
 	}
 	crosses := func(p simnet.Path) bool { return inside[p.From] != inside[p.To] }
 	switch event.Variant {
-	case schedule.CutServers:
+	case schedule.PartitionServers:
 		return func(p simnet.Path) bool { return crosses(p) && isServer(p.From) && isServer(p.To) }
-	case schedule.CutInward:
+	case schedule.PartitionInbound:
 		return func(p simnet.Path) bool { return crosses(p) && inside[p.To] && isMachine(p.From) }
-	case schedule.CutOutward:
+	case schedule.PartitionOutbound:
 		return func(p simnet.Path) bool { return crosses(p) && inside[p.From] && isMachine(p.To) }
-	case schedule.CutAll:
+	case schedule.PartitionAll:
 		return crosses
 	}
 	return func(p simnet.Path) bool { return crosses(p) && isMachine(p.From) && isMachine(p.To) }
@@ -260,7 +260,7 @@
 			if event.Variant == schedule.Planned {
 				w.replacePlanned(slot)
 			} else {
-				w.replaceLost(slot, event.For)
+				w.replaceLost(slot, event.Duration)
 			}
 		})
 	}
@@ -289,12 +289,12 @@
 }
 
 func (w *world) playDisk(_ context.Context, event schedule.Event) {
-	over := w.record.beginFault(history.Fault{What: event.String(), Core: true, Lasting: true, Lost: event.Servers})
+	over := w.record.beginFault(history.Fault{Description: event.String(), Core: true, Lasting: true, Lost: event.Servers})
 	var repairs []func()
 	for _, m := range w.machinesAt(event.Servers) {
 		repairs = append(repairs, m.disk.injectFault(event.Variant))
 	}
-	time.Sleep(event.For)
+	time.Sleep(event.Duration)
 	for _, end := range repairs {
 		end()
 	}
@@ -303,7 +303,7 @@
 
 func (w *world) playLink(_ context.Context, event schedule.Event) {
 	core := len(event.Servers) > 0
-	over := w.record.beginFault(history.Fault{What: event.String(), Core: core, Lasting: core, Agents: event.Agents, Lost: event.Servers})
+	over := w.record.beginFault(history.Fault{Description: event.String(), Core: core, Lasting: core, Agents: event.Agents, Lost: event.Servers})
 	hosts := make(map[string]bool)
 	for _, m := range w.machinesAt(event.Servers) {
 		hosts[m.ip] = true
@@ -316,8 +316,8 @@
 	case schedule.LinkReset:
 		w.network.Reset(touches)
 	case schedule.LinkHold:
-		heal := w.network.Cut(touches)
-		time.Sleep(event.For)
+		heal := w.network.Block(touches)
+		time.Sleep(event.Duration)
 		heal()
 	case schedule.LinkSlow:
 		heal := w.network.Slow(func(p simnet.Path) time.Duration {
@@ -326,7 +326,7 @@
 			}
 			return 0
 		})
-		time.Sleep(event.For)
+		time.Sleep(event.Duration)
 		heal()
 	}
 	over()
@@ -341,7 +341,7 @@
 		m.terminate()
 		w.startAll([]*machine{m})
 		over()
-		time.Sleep(event.For - time.Since(began))
+		time.Sleep(event.Duration - time.Since(began))
 	}
 }
 
--- a/internal/testkit/controlplanesim/history/history_test.go
+++ b/internal/testkit/controlplanesim/history/history_test.go
@@ -14,7 +14,7 @@
 func emptyHistory() history.History {
 	return history.History{
 		Bounds:    history.Bounds{Contact: 3 * second, ConfigApply: 2 * second, Drain: 2 * second, Registration: 2 * second, ServeAgain: 6 * second},
-		Tolerance: 1, Wanted: 3, Agents: 2, End: 60 * second,
+		Tolerance: 1, TargetVoters: 3, Agents: 2, End: 60 * second,
 	}
 }
 
@@ -141,24 +141,24 @@
 	wantOnly(t, late, history.CheckFreshViews)
 
 	cut := h
-	cut.Faults = []history.Fault{{What: "cut", From: 15 * second, To: 60 * second, Agents: []int{1}}}
+	cut.Faults = []history.Fault{{Description: "cut", From: 15 * second, To: 60 * second, Agents: []int{1}}}
 	wantOnly(t, cut, "")
 
 	unstable := h
-	unstable.Faults = []history.Fault{{What: "slow", From: 15 * second, To: 60 * second, Core: true, Lasting: true}}
+	unstable.Faults = []history.Fault{{Description: "slow", From: 15 * second, To: 60 * second, Core: true, Lasting: true}}
 	wantOnly(t, unstable, "")
 
 	stableAgain := h
-	stableAgain.Faults = []history.Fault{{What: "kill", From: 15 * second, To: 21 * second, Core: true}}
+	stableAgain.Faults = []history.Fault{{Description: "kill", From: 15 * second, To: 21 * second, Core: true}}
 	wantOnly(t, stableAgain, history.CheckFreshViews)
 }
 
-func TestCheckForwardViews(t *testing.T) {
+func TestCheckMonotonicViews(t *testing.T) {
 	h := operations(order("a", 0, 1, 1*second, history.Acknowledged), order("b", 1, 2, 2*second, history.Acknowledged))
-	h.Faults = []history.Fault{{What: "cut", From: 4 * second, To: 60 * second, Agents: []int{0}}}
+	h.Faults = []history.Fault{{Description: "cut", From: 4 * second, To: 60 * second, Agents: []int{0}}}
 	back := history.View{Agent: 0, At: 30 * second, Generation: 1, Order: "a"}
 	h.Views = append(h.Views, back)
-	wantOnly(t, h, history.CheckForwardViews)
+	wantOnly(t, h, history.CheckMonotonicViews)
 	h.Views[len(h.Views)-1].Incarnation = 1
 	wantOnly(t, h, "")
 }
@@ -183,7 +183,7 @@
 	wantOnly(t, late, "")
 
 	again := h
-	again.Faults = []history.Fault{{What: "cut", From: 5 * second, To: 60 * second, Agents: []int{0, 1}}}
+	again.Faults = []history.Fault{{Description: "cut", From: 5 * second, To: 60 * second, Agents: []int{0, 1}}}
 	again.Presences = append(append([]history.Presence(nil), h.Presences...), presence(0, 30*second, history.Ready))
 	wantOnly(t, again, history.CheckDepartures)
 }
@@ -205,13 +205,13 @@
 	wantOnly(t, left, "")
 
 	outOfContact := dropped
-	outOfContact.Faults = []history.Fault{{What: "cut", From: 11500 * time.Millisecond, To: 13 * second, Agents: []int{0}}}
+	outOfContact.Faults = []history.Fault{{Description: "cut", From: 11500 * time.Millisecond, To: 13 * second, Agents: []int{0}}}
 	wantOnly(t, outOfContact, "")
 }
 
 func TestCheckServeAgain(t *testing.T) {
 	h := operations(order("a", 0, 1, 1*second, history.Acknowledged), order("b", 1, 2, 21*second, history.Unknown), order("b", 1, 2, 30*second, history.Acknowledged))
-	h.Faults = []history.Fault{{What: "kill", From: 20 * second, To: 20500 * time.Millisecond, Core: true}}
+	h.Faults = []history.Fault{{Description: "kill", From: 20 * second, To: 20500 * time.Millisecond, Core: true}}
 	wantOnly(t, h, history.CheckServeAgain)
 
 	served := h
@@ -219,7 +219,7 @@
 	wantOnly(t, served, "")
 
 	disruptedAgain := h
-	disruptedAgain.Faults = append(disruptedAgain.Faults, history.Fault{What: "freeze", From: 24 * second, To: 25 * second, Core: true}, history.Fault{What: "kill", From: 26 * second, To: 29 * second, Core: true})
+	disruptedAgain.Faults = append(disruptedAgain.Faults, history.Fault{Description: "freeze", From: 24 * second, To: 25 * second, Core: true}, history.Fault{Description: "kill", From: 26 * second, To: 29 * second, Core: true})
 	wantOnly(t, disruptedAgain, "")
 
 	withoutCalls := operations(order("a", 0, 1, 1*second, history.Acknowledged))
@@ -230,8 +230,8 @@
 func TestCheckMajority(t *testing.T) {
 	voter := func(id uint64, slot int) history.Voter { return history.Voter{ID: id, Slot: slot, Durable: 10} }
 	complete := []history.Voter{voter(1, 0), voter(2, 1), voter(3, 2)}
-	lost := history.Fault{What: "wipe", From: 20 * second, To: 21 * second, Lost: []int{2}, Until: 25 * second}
-	wiped := []history.Voter{voter(1, 0), voter(2, 1), {ID: 3, Slot: 2, Gone: true}}
+	lost := history.Fault{Description: "wipe", From: 20 * second, To: 21 * second, Lost: []int{2}, Until: 25 * second}
+	wiped := []history.Voter{voter(1, 0), voter(2, 1), {ID: 3, Slot: 2, Lost: true}}
 	repaired := []history.Voter{voter(1, 0), voter(2, 1), voter(4, 2)}
 	state := func(at time.Duration, voters []history.Voter) history.GroupState {
 		return history.GroupState{At: at, Committed: 10, Voters: voters}
@@ -257,7 +257,7 @@
 	}
 	t.Run("all servers lose power", func(t *testing.T) {
 		h := emptyHistory()
-		h.Faults = []history.Fault{{What: "power-all", From: 20 * second, To: 21 * second, Lost: []int{0, 1, 2}, Until: 25 * second}}
+		h.Faults = []history.Fault{{Description: "power-all", From: 20 * second, To: 21 * second, Lost: []int{0, 1, 2}, Until: 25 * second}}
 		h.GroupStates = []history.GroupState{state(0, complete), state(20*second, wiped), state(24*second, repaired)}
 		wantOnly(t, h, "")
 	})
--- a/internal/testkit/controlplanesim/history/majority.go
+++ b/internal/testkit/controlplanesim/history/majority.go
@@ -66,13 +66,13 @@
 // would survive them.
 func (h History) quorumRisk(state GroupState, at time.Duration) string {
 	lost := h.lostAt(at)
-	further := min(h.Tolerance, (h.Wanted-1)/2) - len(lost)
+	further := min(h.Tolerance, (h.TargetVoters-1)/2) - len(lost)
 	if further < 0 {
 		return "" // more machines are lost than any membership can tolerate
 	}
 	remaining, holding := 0, 0
 	for _, voter := range state.Voters {
-		if voter.Gone || lost[voter.Slot] {
+		if voter.Lost || lost[voter.Slot] {
 			continue
 		}
 		remaining++
--- a/internal/testkit/controlplanesim/history/views.go
+++ b/internal/testkit/controlplanesim/history/views.go
@@ -48,14 +48,14 @@
 	return found
 }
 
-// checkForwardViews finds agents whose generation decreases within an incarnation.
-func checkForwardViews(h History) []Violation {
+// checkMonotonicViews finds agents whose generation decreases within an incarnation.
+func checkMonotonicViews(h History) []Violation {
 	var found []Violation
 	for agent, views := range h.viewsByAgent() {
 		for i := 1; i < len(views); i++ {
 			before, after := views[i-1], views[i]
 			if before.Incarnation == after.Incarnation && after.Generation < before.Generation {
-				found = append(found, Violation{Check: CheckForwardViews, At: after.At,
+				found = append(found, Violation{Check: CheckMonotonicViews, At: after.At,
 					Text: fmt.Sprintf("agent %d went back from generation %d (shown at %v) to %d in incarnation %d", agent, before.Generation, before.At, after.Generation, after.Incarnation)})
 			}
 		}
--- a/internal/testkit/controlplanesim/machine.go
+++ b/internal/testkit/controlplanesim/machine.go
@@ -82,7 +82,7 @@
 		Dial:            incarnation.process.Dial,
 		Listen:          incarnation.process.Listen,
 		OnGroupStatus:   func(status replica.Status) { w.record.observe(m, status) },
-		SnapshotEntries: uint64(w.schedule.SnapshotEntries), RememberedChanges: w.schedule.Remembered,
+		SnapshotEntries: uint64(w.schedule.SnapshotEntries), RememberedChanges: w.schedule.RememberedChanges,
 		OmitGuards: w.omissions.server, OmitConsensusRules: w.omissions.consensus, OmitConfigurationRules: w.omissions.configuration,
 	}
 }
--- a/internal/testkit/controlplanesim/order.go
+++ b/internal/testkit/controlplanesim/order.go
@@ -61,17 +61,17 @@
 	made.invalid = true
 	text := string(made.body)
 	switch variant {
-	case schedule.BadBytes:
+	case schedule.InvalidBytes:
 		text = text[:len(text)/2]
-	case schedule.BadService:
+	case schedule.InvalidService:
 		text = strings.Replace(text, `"service":"s0"`, `"service":"none"`, 1)
-	case schedule.BadRoutes:
+	case schedule.InvalidRoutes:
 		text = strings.Replace(text, `"routes":[`, `"routes":[`+routeJSON("other", "/p/", "s0")+",", 1)
-	case schedule.BadWeights:
+	case schedule.InvalidWeights:
 		text = strings.Replace(text, `"service":"s0"`, `"trafficSplit":[{"service":"s0","weight":0}]`, 1)
-	case schedule.BadTimeout:
+	case schedule.InvalidTimeout:
 		text = strings.Replace(text, `"timeoutMs":1000`, `"timeoutMs":0`, 1)
-	case schedule.BadGeneration:
+	case schedule.InvalidGeneration:
 		made.generation = base
 		text = strings.Replace(text, fmt.Sprintf(`"generation":%d`, generation), fmt.Sprintf(`"generation":%d`, base), 1)
 	}
--- a/internal/testkit/controlplanesim/record.go
+++ b/internal/testkit/controlplanesim/record.go
@@ -228,7 +228,7 @@
 		}
 		voter := history.Voter{ID: uint64(member.ID), Slot: -1}
 		if known := r.members[member.ID]; known != nil {
-			voter.Slot, voter.Gone, voter.Durable = known.machine.slot, known.gone || known.machine.isRetired(), known.durable[shard]
+			voter.Slot, voter.Lost, voter.Durable = known.machine.slot, known.gone || known.machine.isRetired(), known.durable[shard]
 		}
 		now.Voters = append(now.Voters, voter)
 	}
@@ -262,7 +262,7 @@
 	r.observed.End, r.observed.Bounds = r.now(), bounds
 	r.observed.Tolerance, r.observed.Agents = s.Tolerance, s.Agents
 	r.observed.Faults = append(r.observed.Faults, history.Fault{
-		What: "formation", To: formationTime, Core: true, Lasting: true, Lost: r.world.allSlots(), Until: formationTime,
+		Description: "formation", To: formationTime, Core: true, Lasting: true, Lost: r.world.allSlots(), Until: formationTime,
 	})
-	r.observed.Wanted = min(max(2*s.Tolerance+1, seedCount), s.Servers)
+	r.observed.TargetVoters = min(max(2*s.Tolerance+1, seedCount), s.Servers)
 }
--- a/internal/testkit/controlplanesim/schedule/draw.go
+++ b/internal/testkit/controlplanesim/schedule/draw.go
@@ -67,7 +67,7 @@
 	}
 	slices.SortStableFunc(g.events, func(a, b Event) int { return cmp.Compare(a.At, b.At) })
 	return Schedule{Seed: seed, Servers: shape.Servers, Tolerance: shape.Tolerance, Agents: shape.Agents, Operators: shape.Operators,
-		Workers: shape.Workers, Length: shape.Length, SnapshotEntries: snapshotEntries, Remembered: remembered, Omit: slices.Clone(shape.Omit),
+		Workers: shape.Workers, Length: shape.Length, SnapshotEntries: snapshotEntries, RememberedChanges: remembered, Omit: slices.Clone(shape.Omit),
 		Events: g.events}
 }
 
@@ -77,7 +77,7 @@
 // Families of events. A campaign that tests a guard focuses on the families that cause the fault it guards against.
 const (
 	FamilyMachine         Family = "machine"         // machines go down temporarily
-	FamilyCut             Family = "cut"             // network partitions, some with callers on the isolated side
+	FamilyPartition       Family = "cut"             // network partitions, some with callers on the isolated side
 	FamilyChain           Family = "chain"           // consecutive losses, each soon after the repair of the one before
 	FamilyAllDown         Family = "all-down"        // all servers go down at once
 	FamilyRace            Family = "race"            // operators send concurrently
@@ -85,8 +85,8 @@
 	FamilyDisk            Family = "disk"            // faulty disks
 	FamilyLink            Family = "link"            // faulty links
 	FamilyWorkers         Family = "workers"         // workers join and leave
-	FamilyRoll            Family = "roll"            // a rolling restart
-	FamilyBad             Family = "bad"             // invalid configurations
+	FamilyRollingRestart  Family = "roll"            // a rolling restart
+	FamilyInvalidConfig   Family = "bad"             // invalid configurations
 	FamilyAcknowledgement Family = "acknowledgement" // losses right after an acknowledgement, a send or an election
 	FamilyReplies         Family = "replies"         // answers to operators are lost
 	FamilyElection        Family = "election"        // leaders fail, and voters lose power while they vote
@@ -99,9 +99,9 @@
 
 // familyGenerators holds the function that draws the events of each family.
 var familyGenerators = map[Family]func(*generator, time.Duration){
-	FamilyMachine: (*generator).machine, FamilyCut: (*generator).cut, FamilyChain: (*generator).chain, FamilyAllDown: (*generator).allDown,
+	FamilyMachine: (*generator).machine, FamilyPartition: (*generator).partition, FamilyChain: (*generator).chain, FamilyAllDown: (*generator).allDown,
 	FamilyRace: (*generator).race, FamilyBurst: (*generator).burst, FamilyDisk: (*generator).disk, FamilyLink: (*generator).link,
-	FamilyWorkers: (*generator).workers, FamilyRoll: (*generator).roll, FamilyBad: (*generator).invalidConfig,
+	FamilyWorkers: (*generator).workers, FamilyRollingRestart: (*generator).rollingRestart, FamilyInvalidConfig: (*generator).invalidConfig,
 	FamilyAcknowledgement: (*generator).afterAcknowledgement, FamilyReplies: (*generator).loseReplies, FamilyElection: (*generator).election,
 	FamilySync: (*generator).powerAtSync, FamilyRejoin: (*generator).rejoin, FamilyQuota: (*generator).quota, FamilyStall: (*generator).stall,
 	FamilyOldLeader: (*generator).oldLeader,
--- a/internal/testkit/controlplanesim/schedule/schedule_test.go
+++ b/internal/testkit/controlplanesim/schedule/schedule_test.go
@@ -74,8 +74,8 @@
 	lost := map[int]bool{}
 	for number, event := range s.Events {
 		switch event.Kind {
-		case schedule.Kill, schedule.Power, schedule.Wipe, schedule.Freeze, schedule.Cut, schedule.Replace, schedule.Disk, schedule.Link,
-			schedule.KillAll, schedule.PowerAll, schedule.Stall, schedule.Rewipe:
+		case schedule.Kill, schedule.Power, schedule.Wipe, schedule.Freeze, schedule.Partition, schedule.Replace, schedule.Disk, schedule.Link,
+			schedule.KillAll, schedule.PowerAll, schedule.Stall, schedule.WipeTwice:
 			if event.At > at || at >= event.End()+schedule.CatchUp {
 				continue
 			}
@@ -85,9 +85,9 @@
 				}
 				lost[slot] = true
 			}
-		case schedule.Roll:
+		case schedule.RollingRestart:
 			for i, slot := range event.Servers {
-				if from := event.At + time.Duration(i)*event.For; from <= at && at < from+event.For {
+				if from := event.At + time.Duration(i)*event.Duration; from <= at && at < from+event.Duration {
 					lost[slot] = true
 				}
 			}
@@ -131,8 +131,8 @@
 		}
 	}
 	for kind, count := range seen {
-		if kind != schedule.Rewipe && count > seen[schedule.Rewipe] {
-			t.Errorf("kind %s was drawn %d times, more often than rewipe of the focus (%d times)", kind, count, seen[schedule.Rewipe])
+		if kind != schedule.WipeTwice && count > seen[schedule.WipeTwice] {
+			t.Errorf("kind %s was drawn %d times, more often than rewipe of the focus (%d times)", kind, count, seen[schedule.WipeTwice])
 		}
 	}
 }
@@ -144,9 +144,9 @@
 			seen[event.Kind]++
 		}
 	}
-	for _, kind := range []schedule.Kind{schedule.Kill, schedule.Power, schedule.Wipe, schedule.Freeze, schedule.Cut, schedule.Replace, schedule.Disk,
-		schedule.Link, schedule.KillAll, schedule.PowerAll, schedule.RestartAll, schedule.Roll, schedule.LoseReplies, schedule.Race, schedule.Burst,
-		schedule.Bad, schedule.Worker, schedule.Quota, schedule.Stall, schedule.Rewipe} {
+	for _, kind := range []schedule.Kind{schedule.Kill, schedule.Power, schedule.Wipe, schedule.Freeze, schedule.Partition, schedule.Replace, schedule.Disk,
+		schedule.Link, schedule.KillAll, schedule.PowerAll, schedule.RestartAll, schedule.RollingRestart, schedule.LoseReplies, schedule.Race, schedule.Burst,
+		schedule.InvalidConfig, schedule.Worker, schedule.Quota, schedule.Stall, schedule.WipeTwice} {
 		if seen[kind] < 10 {
 			t.Errorf("kind %s was drawn %d times in 300 schedules, want at least 10", kind, seen[kind])
 		}
@@ -179,7 +179,7 @@
 func TestShrink_minimal(t *testing.T) {
 	drawn := schedule.Draw(7, shapes[1])
 	needed := []schedule.Event{
-		{At: 20 * time.Second, Kind: schedule.Wipe, Servers: []int{1, 3}, For: 800 * time.Millisecond},
+		{At: 20 * time.Second, Kind: schedule.Wipe, Servers: []int{1, 3}, Duration: 800 * time.Millisecond},
 		{At: 26 * time.Second, Kind: schedule.Burst, Operators: []int{0, 1}, Count: 60},
 	}
 	drawn.Events = insert(drawn.Events, needed...)
@@ -195,7 +195,7 @@
 	if burst := small.Events[len(small.Events)-1]; burst.Count != 7 || len(burst.Operators) != 1 {
 		t.Errorf("burst after Shrink: got %v, want 7 changes by 1 operator", burst)
 	}
-	if wipe := small.Events[0]; len(wipe.Servers) != 1 || wipe.For >= 20*time.Millisecond {
+	if wipe := small.Events[0]; len(wipe.Servers) != 1 || wipe.Duration >= 20*time.Millisecond {
 		t.Errorf("wipe after Shrink: got %v, want 1 server and less than 20 ms", wipe)
 	}
 	if small.Agents != 1 || small.Workers != 1 {
--- a/internal/testkit/controlplanesim/schedule/shrink.go
+++ b/internal/testkit/controlplanesim/schedule/shrink.go
@@ -72,8 +72,8 @@
 		add(func(e *Event) { e.Count = event.Count / 2 })
 		add(func(e *Event) { e.Count = event.Count - 1 })
 	}
-	if event.For >= 2*minSpan {
-		add(func(e *Event) { e.For = (event.For / 2).Round(minSpan) })
+	if event.Duration >= 2*minSpan {
+		add(func(e *Event) { e.Duration = (event.Duration / 2).Round(minSpan) })
 	}
 	if event.Delay > 0 {
 		add(func(e *Event) { e.Delay = 0 })
--- a/internal/testkit/controlplanesim/schedule/text.go
+++ b/internal/testkit/controlplanesim/schedule/text.go
@@ -33,8 +33,8 @@
 	if s.SnapshotEntries > 0 {
 		fmt.Fprintf(&text, " snapshots=%d", s.SnapshotEntries)
 	}
-	if s.Remembered > 0 {
-		fmt.Fprintf(&text, " remembered=%d", s.Remembered)
+	if s.RememberedChanges > 0 {
+		fmt.Fprintf(&text, " remembered=%d", s.RememberedChanges)
 	}
 	if len(s.Omit) > 0 {
 		text.WriteString(" omit=" + strings.Join(s.Omit, ","))
@@ -56,13 +56,13 @@
 		}
 	}
 	add("variant", string(e.Variant))
-	add("on", string(e.On))
+	add("on", string(e.Trigger))
 	add("delay", formatSpan(e.Delay))
 	add("keepers", formatIndexes(e.Servers))
 	add("agents", formatIndexes(e.Agents))
 	add("operators", formatIndexes(e.Operators))
 	add("workers", formatIndexes(e.Workers))
-	add("for", formatSpan(e.For))
+	add("for", formatSpan(e.Duration))
 	if e.Count != 0 {
 		add("count", strconv.Itoa(e.Count))
 	}
@@ -149,7 +149,7 @@
 	case "snapshots":
 		s.SnapshotEntries, err = strconv.Atoi(value)
 	case "remembered":
-		s.Remembered, err = strconv.Atoi(value)
+		s.RememberedChanges, err = strconv.Atoi(value)
 	case "omit":
 		s.Omit = strings.Split(value, ",")
 	default:
@@ -183,7 +183,7 @@
 	case "variant":
 		e.Variant = Variant(value)
 	case "on":
-		e.On = Trigger(value)
+		e.Trigger = Trigger(value)
 	case "delay":
 		e.Delay, err = time.ParseDuration(value)
 	case "keepers":
@@ -195,7 +195,7 @@
 	case "workers":
 		e.Workers, err = parseIndexes(value)
 	case "for":
-		e.For, err = time.ParseDuration(value)
+		e.Duration, err = time.ParseDuration(value)
 	case "count":
 		e.Count, err = strconv.Atoi(value)
 	case "leader":
@@ -223,7 +223,7 @@
 // Check returns an error if the schedule cannot be executed: an unknown kind, variant or trigger, an index out of range, a negative
 // value, or events that are not sorted by time.
 func (s Schedule) Check() error {
-	if s.Servers < 1 || s.Tolerance < 0 || s.Agents < 0 || s.Operators < 0 || s.Workers < 0 || s.Length < 0 || s.SnapshotEntries < 0 || s.Remembered < 0 {
+	if s.Servers < 1 || s.Tolerance < 0 || s.Agents < 0 || s.Operators < 0 || s.Workers < 0 || s.Length < 0 || s.SnapshotEntries < 0 || s.RememberedChanges < 0 {
 		return fmt.Errorf("%w: the number of servers must be positive, and all other counts and the length must not be negative", ErrSyntax)
 	}
 	for i, event := range s.Events {
@@ -244,10 +244,10 @@
 	if allowed := variants[event.Kind]; len(allowed) == 0 && event.Variant != "" || len(allowed) > 0 && !slices.Contains(allowed, event.Variant) {
 		return errUnknownVariant
 	}
-	if event.On != "" && !slices.Contains(triggers, event.On) {
+	if event.Trigger != "" && !slices.Contains(triggers, event.Trigger) {
 		return errUnknownTrigger
 	}
-	if event.At < 0 || event.For < 0 || event.Delay < 0 || event.Count < 0 {
+	if event.At < 0 || event.Duration < 0 || event.Delay < 0 || event.Count < 0 {
 		return errNegative
 	}
 	for _, group := range []struct {
--- a/internal/testkit/controlplanesim/scripts.go
+++ b/internal/testkit/controlplanesim/scripts.go
@@ -18,7 +18,7 @@
 		hosts = append(hosts, w.operators[i].host)
 	}
 	end := w.loseReplies(hosts)
-	time.Sleep(event.For)
+	time.Sleep(event.Duration)
 	end()
 }
 
@@ -127,13 +127,13 @@
 		one := w.workers[i]
 		leaving.Go(func() {
 			if event.Variant == schedule.WorkerLate {
-				one.delayHeartbeats(ctx, event.For)
+				one.delayHeartbeats(ctx, event.Duration)
 				return
 			}
 			if departing := one.takeIncarnation(); departing != nil {
 				departing.depart(ctx, event.Variant)
 			}
-			simnet.Sleep(ctx, event.For)
+			simnet.Sleep(ctx, event.Duration)
 			one.start(ctx)
 		})
 	}
--- a/internal/testkit/controlplanesim/simnet/connection.go
+++ b/internal/testkit/controlplanesim/simnet/connection.go
@@ -78,7 +78,7 @@
 // Read blocks until bytes arrive, the connection ends or the deadline passes, and while the process is frozen.
 func (c *conn) Read(buffer []byte) (int, error) {
 	for {
-		if !c.process.Await() {
+		if !c.process.AwaitRunning() {
 			return 0, net.ErrClosed
 		}
 		count, wait, err := c.readArrived(buffer)
--- a/internal/testkit/controlplanesim/simnet/listener.go
+++ b/internal/testkit/controlplanesim/simnet/listener.go
@@ -55,7 +55,7 @@
 // Accept blocks until a connection arrives, and while the process is frozen.
 func (l *listener) Accept() (net.Conn, error) {
 	for {
-		if !l.process.Await() {
+		if !l.process.AwaitRunning() {
 			return nil, net.ErrClosed
 		}
 		accepted, closed := l.popBacklog()
@@ -133,7 +133,7 @@
 		_ = opened.Close()
 		return nil, context.Cause(ctx)
 	}
-	if !p.Await() {
+	if !p.AwaitRunning() {
 		return nil, net.ErrClosed
 	}
 	return opened, nil
@@ -142,14 +142,14 @@
 // waitReachable blocks until a SYN has reached the other machine and its answer can return.
 func (p *Process) waitReachable(ctx context.Context, path Path) error {
 	for {
-		if !p.Await() {
+		if !p.AwaitRunning() {
 			return net.ErrClosed
 		}
-		changed := p.network.Changed()
+		changed := p.network.PathsChanged()
 		if !Sleep(ctx, p.network.Delay(path)) {
 			return context.Cause(ctx)
 		}
-		if p.network.Open(path) && p.network.Open(path.reverse()) {
+		if p.network.Reachable(path) && p.network.Reachable(path.reverse()) {
 			return nil
 		}
 		select {
--- a/internal/testkit/controlplanesim/simnet/network_test.go
+++ b/internal/testkit/controlplanesim/simnet/network_test.go
@@ -79,13 +79,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		n := New(2)
 		a, b, _, _ := pair(t, n)
-		heal := n.Cut(between(hostA, hostB))
+		heal := n.Block(between(hostA, hostB))
 		write(t, a, "held")
 		time.AfterFunc(time.Second, heal)
 		if took := receive(t, b, "held"); took < time.Second {
 			t.Errorf("bytes arrived after %v, want at least 1s because of the cut", took)
 		}
-		heal = n.Cut(between(hostA, hostB))
+		heal = n.Block(between(hostA, hostB))
 		write(t, a, "lost")
 		time.Sleep(2 * time.Second)
 		if _, err := a.Write([]byte("x")); err == nil {
@@ -102,7 +102,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		n := New(3)
 		a, b, _, _ := pair(t, n)
-		defer n.Cut(func(p Path) bool { return p == Path{hostA, hostB} })()
+		defer n.Block(func(p Path) bool { return p == Path{hostA, hostB} })()
 		write(t, b, "through")
 		receive(t, a, "through")
 		write(t, a, "held")
@@ -117,7 +117,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		n := New(4)
 		_, _, first, second := pair(t, n)
-		heal := n.Cut(between(hostA, hostB))
+		heal := n.Block(between(hostA, hostB))
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		began := time.Now()
@@ -170,8 +170,8 @@
 		second.Freeze()
 		write(t, a, "early")
 		write(t, b, "answer") // sent by code that runs before it notices the freeze
-		if !first.Await() {
-			t.Fatal("Await of the process that was not frozen returned false")
+		if !first.AwaitRunning() {
+			t.Fatal("AwaitRunning of the process that was not frozen returned false")
 		}
 		_ = a.SetReadDeadline(time.Now().Add(time.Second))
 		if _, err := a.Read(make([]byte, 1)); !isTimeout(err) {
--- a/internal/testkit/controlplanesim/simnet/process.go
+++ b/internal/testkit/controlplanesim/simnet/process.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// Freeze freezes the process. It receives and sends nothing, and Await blocks.
+// Freeze freezes the process. It receives and sends nothing, and AwaitRunning blocks.
 func (p *Process) Freeze() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -69,8 +69,8 @@
 // Ended returns a channel that is closed when the process is killed or loses power.
 func (p *Process) Ended() <-chan struct{} { return p.ended }
 
-// Await blocks while the process is frozen. It returns true if the process runs and false if it is dead.
-func (p *Process) Await() bool {
+// AwaitRunning blocks while the process is frozen. It returns true if the process runs and false if it is dead.
+func (p *Process) AwaitRunning() bool {
 	for {
 		p.mutex.Lock()
 		frozen, dead := p.frozen, p.dead
@@ -90,7 +90,7 @@
 
 // Now returns the time of the process's clock. It blocks while the process is frozen. With StallClock it may return late.
 func (p *Process) Now() time.Time {
-	p.Await()
+	p.AwaitRunning()
 	now := time.Now()
 	p.mutex.Lock()
 	stall := p.stall
@@ -98,7 +98,7 @@
 	if stall != nil {
 		if late := stall(); late > 0 {
 			time.Sleep(late)
-			p.Await()
+			p.AwaitRunning()
 		}
 	}
 	return now
--- a/internal/testkit/controlplanesim/slow_events.go
+++ b/internal/testkit/controlplanesim/slow_events.go
@@ -45,7 +45,7 @@
 // playQuota lets processes run for a part of each period only. It is no fault.
 func (w *world) playQuota(_ context.Context, event schedule.Event) {
 	share := quotaPeriod * time.Duration(event.Count) / 100
-	end := time.Now().Add(event.For)
+	end := time.Now().Add(event.Duration)
 	var playing sync.WaitGroup
 	limit := func(index int, freeze func() (thaw func())) {
 		playing.Go(func() {
@@ -91,13 +91,13 @@
 func (w *world) playStall(_ context.Context, event schedule.Event) {
 	struck := w.machinesAt(event.Servers)
 	over := w.record.beginFault(history.Fault{
-		What: event.String(), Core: true, Lasting: true, Lost: event.Servers, Stalled: addressesOf(struck), MaxStall: maxStall,
+		Description: event.String(), Core: true, Lasting: true, Lost: event.Servers, Stalled: addressesOf(struck), MaxStall: maxStall,
 	})
 	var ends []func()
 	for _, m := range struck {
 		ends = append(ends, m.stallClock(w.sharedRandom("stall "+m.ip, int(event.At/time.Millisecond))))
 	}
-	time.Sleep(event.For)
+	time.Sleep(event.Duration)
 	for _, end := range ends {
 		end()
 	}
@@ -129,7 +129,7 @@
 		hosts[m.ip] = true
 		m.wipe()
 	}
-	time.Sleep(event.For / 4)
+	time.Sleep(event.Duration / 4)
 	heal := w.network.Slow(func(p simnet.Path) time.Duration {
 		if hosts[p.From] && !hosts[p.To] {
 			return slowDelay
@@ -137,12 +137,12 @@
 		return 0
 	})
 	w.startAll(struck)
-	time.Sleep(event.For)
+	time.Sleep(event.Duration)
 	for _, m := range struck {
 		m.wipe()
 	}
 	heal()
-	time.Sleep(event.For / 8)
+	time.Sleep(event.Duration / 8)
 	w.startAll(struck)
 	over()
 }
