--- a/internal/testkit/catchupbench/catchup_test.go
+++ b/internal/testkit/catchupbench/catchup_test.go
@@ -9,8 +9,8 @@
 // catchUpBound is the limit catchUpS of the operators' documents.
 const catchUpBound = 4 * time.Second
 
-// TestPlay_membersCatchUpWithinTheBound is a short version of "inference-router measure catchup".
-func TestPlay_membersCatchUpWithinTheBound(t *testing.T) {
+// TestRun_membersCatchUpWithinTheBound is a short version of "inference-router measure catchup".
+func TestRun_membersCatchUpWithinTheBound(t *testing.T) {
 	steps, err := Run(t.Context(), Plan{
 		Directory: t.TempDir(), Routes: 450, Rate: 30, ReplaceEvery: 10, Limit: 20 * time.Second,
 		Offline: []time.Duration{100 * time.Millisecond, time.Second},
--- a/internal/testkit/catchupbench/plan.go
+++ b/internal/testkit/catchupbench/plan.go
@@ -16,17 +16,17 @@
 	"ospreybend/internal/controlplane/peertransport"
 )
 
-// Manner is the way in which a member returns to the group.
+// ReturnMode is the way in which a member returns to the group.
 type ReturnMode string
 
-// Manners of return.
+// Return modes.
 const (
 	Restarted ReturnMode = "restarted" // with its disk and ID
 	Wiped     ReturnMode = "wiped"     // at the same address with an empty disk and a new ID
 	Replaced  ReturnMode = "replaced"  // by a new member at another address
 )
 
-// Manners returns all manners in the order in which they are measured.
+// ReturnModes returns all return modes in the order in which they are measured.
 func ReturnModes() []ReturnMode { return []ReturnMode{Restarted, Wiped, Replaced} }
 
 // Plan holds the parameters of a measurement.
@@ -35,20 +35,20 @@
 	Routes       int             // number of routes in the configuration
 	Rate         int             // changes per second, also while a member catches up
 	ReplaceEvery int             // one in this many changes replaces the complete document
-	Offline      []time.Duration // times that members are offline, each measured with every Manner
+	Offline      []time.Duration // times that members are offline, each measured with every ReturnMode
 	Limit        time.Duration   // time limit for a member to catch up, and for each other wait
 	Progress     io.Writer       // receives one line per step; may be nil
 }
 
 // Step is the measurement of one return of a member. The JSON names are those of earlier results and must not change.
 type Step struct {
-	Mode  ReturnMode        `json:"Manner"`
-	Offline time.Duration `json:"Away"`
-	MissedChanges  int           `json:"Lacked"`  // changes made while it was offline
-	CatchUpTime    time.Duration `json:"Took"`    // from its start until it had caught up with the leader
-	TimeToVoter  time.Duration `json:"Voting"`  // from its start until it was a voter again
-	Bytes   int64         `json:"Bytes"`   // bytes sent to it until it had caught up
-	DiskBytes  int64         `json:"OnDisk"`  // disk usage of its replica at that time
+	Mode            ReturnMode    `json:"Manner"`
+	Offline         time.Duration `json:"Away"`
+	MissedChanges   int           `json:"Lacked"`  // changes made while it was offline
+	CatchUpTime     time.Duration `json:"Took"`    // from its start until it had caught up with the leader
+	TimeToVoter     time.Duration `json:"Voting"`  // from its start until it was a voter again
+	Bytes           int64         `json:"Bytes"`   // bytes sent to it until it had caught up
+	DiskBytes       int64         `json:"OnDisk"`  // disk usage of its replica at that time
 	LeaderDiskBytes int64         `json:"Leading"` // disk usage of the leader's replica at that time
 }
 
@@ -97,7 +97,7 @@
 // pollInterval is the interval at which the state of a replica is polled.
 const pollInterval = time.Millisecond
 
-// Play measures the return of a member for each offline time and manner of the plan. On an error it also returns the completed
+// Run measures the return of a member for each offline time of the plan and each return mode. On an error it also returns the completed
 // steps.
 func Run(ctx context.Context, plan Plan) ([]Step, error) {
 	g := &testGroup{plan: plan, traffic: newTraffic()}
@@ -107,10 +107,10 @@
 	}
 	var steps []Step
 	for _, offline := range plan.Offline {
-		for _, manner := range ReturnModes() {
-			step, err := g.measure(ctx, manner, offline)
+		for _, mode := range ReturnModes() {
+			step, err := g.measure(ctx, mode, offline)
 			if err != nil {
-				return steps, fmt.Errorf("measure a member that is %s after %v offline: %w", manner, offline, err)
+				return steps, fmt.Errorf("measure a member that is %s after %v offline: %w", mode, offline, err)
 			}
 			steps = append(steps, step)
 			if plan.Progress != nil {
@@ -223,8 +223,8 @@
 	}
 }
 
-// measure stops a follower, makes the changes that occur while it is offline, and has it return in the given manner.
-func (g *testGroup) measure(ctx context.Context, manner ReturnMode, offline time.Duration) (Step, error) {
+// measure stops a follower, makes the changes that occur while it is offline, and has it return in the given mode.
+func (g *testGroup) measure(ctx context.Context, mode ReturnMode, offline time.Duration) (Step, error) {
 	if err := g.proposeNextChange(ctx); err != nil {
 		return Step{}, err
 	}
@@ -244,7 +244,7 @@
 			return Step{}, err
 		}
 	}
-	step := Step{Mode: manner, Offline: offline, MissedChanges: missed}
+	step := Step{Mode: mode, Offline: offline, MissedChanges: missed}
 	changesCtx, endChanges := context.WithCancel(ctx)
 	changes := make(chan error, 1)
 	go func() { changes <- g.makeChanges(changesCtx) }()
--- a/internal/testkit/catchupbench/result.go
+++ b/internal/testkit/catchupbench/result.go
@@ -51,7 +51,7 @@
 	legendStep   = 14
 )
 
-// colours maps each manner to the colour of its points in the plot.
+// colours maps each return mode to the colour of its points in the plot.
 var colours = map[ReturnMode]string{Restarted: "#1f77b4", Wiped: "#d62728", Replaced: "#2ca02c"}
 
 // WriteSVG plots the time to catch up and the bytes sent against the number of missed changes.
@@ -89,13 +89,13 @@
 		fmt.Fprintf(text, `<text x="%.0f" y="%d" text-anchor="middle">%.0f</text>`+"\n", x(tick), plotHeight-plotBottom+16, tick)
 	}
 	fmt.Fprintf(text, `<text x="%d" y="%d" text-anchor="middle">missed changes</text>`+"\n", plotWidth/2, plotHeight-6)
-	for i, manner := range ReturnModes() {
+	for i, mode := range ReturnModes() {
 		for _, step := range r.Steps {
-			if step.Mode == manner {
-				fmt.Fprintf(text, `<circle cx="%.1f" cy="%.1f" r="3" fill="%s"/>`+"\n", x(float64(step.MissedChanges)), y(value(step)), colours[manner])
+			if step.Mode == mode {
+				fmt.Fprintf(text, `<circle cx="%.1f" cy="%.1f" r="3" fill="%s"/>`+"\n", x(float64(step.MissedChanges)), y(value(step)), colours[mode])
 			}
 		}
-		fmt.Fprintf(text, `<text x="%d" y="%d" fill="%s">%s</text>`+"\n", plotLeft+8, plotTop+legendStep*(i+1), colours[manner], manner)
+		fmt.Fprintf(text, `<text x="%d" y="%d" fill="%s">%s</text>`+"\n", plotLeft+8, plotTop+legendStep*(i+1), colours[mode], mode)
 	}
 	text.WriteString("</g>\n")
 }
--- a/internal/testkit/controlplanesim/history/history_test.go
+++ b/internal/testkit/controlplanesim/history/history_test.go
@@ -153,7 +153,7 @@
 	wantOnly(t, stableAgain, history.CheckFreshViews)
 }
 
-func TestCheckForwardViews(t *testing.T) {
+func TestCheckMonotonicViews(t *testing.T) {
 	h := operations(order("a", 0, 1, 1*second, history.Acknowledged), order("b", 1, 2, 2*second, history.Acknowledged))
 	h.Faults = []history.Fault{{Description: "cut", From: 4 * second, To: 60 * second, Agents: []int{0}}}
 	back := history.View{Agent: 0, At: 30 * second, Generation: 1, Order: "a"}
--- a/internal/testkit/controlplanesim/history/types.go
+++ b/internal/testkit/controlplanesim/history/types.go
@@ -9,7 +9,7 @@
 type History struct {
 	Bounds        Bounds
 	Tolerance     int // number of machines that may be lost at the same time
-	TargetVoters        int // target number of voters per group, at most the number of machines
+	TargetVoters  int // target number of voters per group, at most the number of machines
 	Agents        int
 	End           time.Duration
 	Operations    []Operation
@@ -119,14 +119,14 @@
 
 // Fault is a fault injected into the core (the control plane servers) or into agents.
 type Fault struct {
-	Description    string
-	From    time.Duration
-	To      time.Duration
-	Core    bool  // the core is unstable for Bounds.Contact after From and after To
-	Lasting bool  // the core is also unstable between From and To
-	Agents  []int // agents out of contact from From until Bounds.Contact after To
-	Lost    []int // slots of the core that count as lost between From and Until
-	Until   time.Duration
+	Description string
+	From        time.Duration
+	To          time.Duration
+	Core        bool  // the core is unstable for Bounds.Contact after From and after To
+	Lasting     bool  // the core is also unstable between From and To
+	Agents      []int // agents out of contact from From until Bounds.Contact after To
+	Lost        []int // slots of the core that count as lost between From and Until
+	Until       time.Duration
 
 	Isolated []string      // machines partitioned from the other servers between From and To
 	Lease    time.Duration // time after From for which the isolated machines may still know that they are current
@@ -153,11 +153,11 @@
 
 // String returns the voter's ID, slot and highest durable index.
 func (v Voter) String() string {
-	gone := ""
+	lost := ""
 	if v.Lost {
-		gone = ", gone"
+		lost = ", lost"
 	}
-	return fmt.Sprintf("%x at slot %d, durable to %d%s", v.ID, v.Slot, v.Durable, gone)
+	return fmt.Sprintf("%x at slot %d, durable to %d%s", v.ID, v.Slot, v.Durable, lost)
 }
 
 // Violation is a violated guarantee.
@@ -172,16 +172,16 @@
 
 // Names of the checks.
 const (
-	CheckOrders       = "orders"        // no order is both accepted and rejected; no invalid order is accepted
-	CheckOneBody      = "one-body"      // each generation has exactly one content
-	CheckLinearizable = "linearizable"  // some sequential execution of orders and reads explains all answers
-	CheckFreshViews   = "fresh-views"   // an agent in contact shows every change within ConfigApply of its acknowledgement
+	CheckOrders         = "orders"        // no order is both accepted and rejected; no invalid order is accepted
+	CheckOneBody        = "one-body"      // each generation has exactly one content
+	CheckLinearizable   = "linearizable"  // some sequential execution of orders and reads explains all answers
+	CheckFreshViews     = "fresh-views"   // an agent in contact shows every change within ConfigApply of its acknowledgement
 	CheckMonotonicViews = "forward-views" // an agent's generation never decreases within an incarnation
-	CheckDepartures   = "departures"    // no acknowledged drain or departure is lost
-	CheckRegistration = "registrations" // an agent in contact shows every worker whose heartbeat was acknowledged
-	CheckServeAgain   = "serve-again"   // some operation is answered within ServeAgain of each disruption
-	CheckMajority     = "majority"      // a majority survives any further loss within the tolerance
-	CheckIsolated     = "isolated"      // servers isolated from a majority acknowledge nothing
+	CheckDepartures     = "departures"    // no acknowledged drain or departure is lost
+	CheckRegistration   = "registrations" // an agent in contact shows every worker whose heartbeat was acknowledged
+	CheckServeAgain     = "serve-again"   // some operation is answered within ServeAgain of each disruption
+	CheckMajority       = "majority"      // a majority survives any further loss within the tolerance
+	CheckIsolated       = "isolated"      // servers isolated from a majority acknowledge nothing
 )
 
 // Check runs every check and returns the first violation that each one found.
--- a/internal/testkit/controlplanesim/history/views.go
+++ b/internal/testkit/controlplanesim/history/views.go
@@ -48,7 +48,7 @@
 	return found
 }
 
-// checkForwardViews finds agents whose generation decreases within an incarnation.
+// checkMonotonicViews finds agents whose generation decreases within an incarnation.
 func checkMonotonicViews(h History) []Violation {
 	var found []Violation
 	for agent, views := range h.viewsByAgent() {
--- a/internal/testkit/controlplanesim/schedule/draw.go
+++ b/internal/testkit/controlplanesim/schedule/draw.go
@@ -77,7 +77,7 @@
 // Families of events. A campaign that tests a guard focuses on the families that cause the fault it guards against.
 const (
 	FamilyMachine         Family = "machine"         // machines go down temporarily
-	FamilyPartition             Family = "cut"             // network partitions, some with callers on the isolated side
+	FamilyPartition       Family = "cut"             // network partitions, some with callers on the isolated side
 	FamilyChain           Family = "chain"           // consecutive losses, each soon after the repair of the one before
 	FamilyAllDown         Family = "all-down"        // all servers go down at once
 	FamilyRace            Family = "race"            // operators send concurrently
@@ -85,8 +85,8 @@
 	FamilyDisk            Family = "disk"            // faulty disks
 	FamilyLink            Family = "link"            // faulty links
 	FamilyWorkers         Family = "workers"         // workers join and leave
-	FamilyRollingRestart            Family = "roll"            // a rolling restart
-	FamilyInvalidConfig             Family = "bad"             // invalid configurations
+	FamilyRollingRestart  Family = "roll"            // a rolling restart
+	FamilyInvalidConfig   Family = "bad"             // invalid configurations
 	FamilyAcknowledgement Family = "acknowledgement" // losses right after an acknowledgement, a send or an election
 	FamilyReplies         Family = "replies"         // answers to operators are lost
 	FamilyElection        Family = "election"        // leaders fail, and voters lose power while they vote
--- a/internal/testkit/controlplanesim/schedule/families.go
+++ b/internal/testkit/controlplanesim/schedule/families.go
@@ -16,7 +16,7 @@
 	return pick(g, g.drawDuration(100*time.Millisecond, time.Second), g.drawDuration(time.Second, 4*time.Second), g.drawDuration(4*time.Second, 15*time.Second))
 }
 
-// cut partitions servers, often for as long as operators wait for an answer, and adds events during the partition.
+// partition partitions servers, often for as long as operators wait for an answer, and adds events during the partition.
 func (g *generator) partition(at time.Duration) {
 	event := Event{At: at, Kind: Partition, Variant: pick(g, variants[Partition]...), Servers: g.pickSome(g.shape.Servers, g.shape.Tolerance),
 		Duration: pick(g, g.drawDuration(500*time.Millisecond, 4*time.Second), g.drawDuration(14*time.Second, 21*time.Second))}
@@ -138,7 +138,7 @@
 	g.addLoss(event)
 }
 
-// roll restarts all servers one after the other, each when the previous one no longer counts as lost.
+// rollingRestart restarts all servers one after the other, each when the previous one no longer counts as lost.
 func (g *generator) rollingRestart(at time.Duration) {
 	event := Event{At: at, Kind: RollingRestart, Duration: CatchUp + g.drawDuration(500*time.Millisecond, 2*time.Second), Servers: g.random.Perm(g.shape.Servers)}
 	spans := event.rollSpans()
--- a/internal/testkit/controlplanesim/schedule/guarded_families.go
+++ b/internal/testkit/controlplanesim/schedule/guarded_families.go
@@ -12,8 +12,8 @@
 		return
 	}
 	voter := Event{At: at, Trigger: pick(g, Candidacy, Election, Sync), Kind: Power, Servers: g.pickSome(g.shape.Servers, 1),
-		Delay: pick(g, 0, g.drawDuration(time.Millisecond, 5*time.Millisecond), g.drawDuration(5*time.Millisecond, 60*time.Millisecond)),
-		Duration:   g.drawDuration(20*time.Millisecond, 300*time.Millisecond)}
+		Delay:    pick(g, 0, g.drawDuration(time.Millisecond, 5*time.Millisecond), g.drawDuration(5*time.Millisecond, 60*time.Millisecond)),
+		Duration: g.drawDuration(20*time.Millisecond, 300*time.Millisecond)}
 	if g.random.IntN(2) == 0 {
 		g.addLoss(voter)
 		return
--- a/internal/testkit/controlplanesim/schedule/types.go
+++ b/internal/testkit/controlplanesim/schedule/types.go
@@ -19,8 +19,8 @@
 	Workers   int           // number of workers that register
 	Length    time.Duration // time from the start to the last event; recovery checks follow
 
-	SnapshotEntries int // number of log entries after which servers compact their logs; 0 means the production value
-	RememberedChanges      int // number of accepted changes that servers remember; 0 means the production value
+	SnapshotEntries   int // number of log entries after which servers compact their logs; 0 means the production value
+	RememberedChanges int // number of accepted changes that servers remember; 0 means the production value
 
 	Omit   []string // names of guards (safety checks in the code under test) that are disabled
 	Events []Event  // sorted by At
@@ -29,7 +29,7 @@
 // Event is one fault or action. Kind determines which fields apply.
 type Event struct {
 	At        time.Duration // time since the start; with a trigger, the earliest time
-	Trigger        Trigger       // trigger that the event waits for; empty means none
+	Trigger   Trigger       // trigger that the event waits for; empty means none
 	Delay     time.Duration // time between the trigger and the event
 	Kind      Kind
 	Variant   Variant
@@ -37,7 +37,7 @@
 	Agents    []int         // affected agents, or those on the servers' side of a partition
 	Operators []int         // affected operators
 	Workers   []int         // affected workers
-	Duration       time.Duration // duration of the event, or downtime until a restart
+	Duration  time.Duration // duration of the event, or downtime until a restart
 	Count     int           // number of orders; for Quota, the CPU share in percent
 	Leader    bool          // the leader of the configuration group replaces the first entry of Servers
 	Restart   bool          // for a partition: processes on the isolated side are killed and restarted during it, with the isolated servers as their seeds
@@ -48,39 +48,39 @@
 
 // Kinds of events.
 const (
-	Kill        Kind = "kill"         // processes of Servers are killed and restart after For; disks are kept
-	Power       Kind = "power"        // Servers lose power and return after For; writes that were not synced may be lost or torn
-	Wipe        Kind = "wipe"         // Servers lose their disks and start empty at the same address after For
-	Freeze      Kind = "freeze"       // Servers or Agents are paused for For, then process what has arrived
-	Partition         Kind = "cut"          // Servers, together with Agents, are partitioned from the rest for For
-	Replace     Kind = "replace"      // Servers stop; empty machines at other addresses take over their slots after For
-	Disk        Kind = "disk"         // disks of Servers are faulty for For
-	Link        Kind = "link"         // links of Servers or Agents are faulty for For
-	KillAll     Kind = "kill-all"     // processes of all servers are killed at once and restart after For; disks are kept except those of Servers
-	PowerAll    Kind = "power-all"    // all servers lose power at once and return after For; Servers also lose their disks
-	RestartAll  Kind = "restart-all"  // all servers receive SIGTERM at once and restart after For
-	RollingRestart        Kind = "roll"         // Servers receive SIGTERM one after the other at intervals of For, and restart
-	LoseReplies Kind = "lose-replies" // answers to Operators are lost for For
-	Race        Kind = "race"         // Operators send orders concurrently on the same base
-	Burst       Kind = "storm"        // Operators send Count changes, each based on the one before, without a pause
-	InvalidConfig         Kind = "bad"          // Operators send a configuration that must be rejected
-	Worker      Kind = "worker"       // Workers leave, crash or send late heartbeats
-	Quota       Kind = "quota"        // processes of Servers and Agents run for only Count of every 100 ms, for For
-	Stall       Kind = "stall"        // goroutines of Servers pause at random between reading the clock and acting on it, for For
-	WipeTwice      Kind = "rewipe"       // Servers lose their disks, and lose them again soon after their return over slow links; For apart
+	Kill           Kind = "kill"         // processes of Servers are killed and restart after Duration; disks are kept
+	Power          Kind = "power"        // Servers lose power and return after Duration; writes that were not synced may be lost or torn
+	Wipe           Kind = "wipe"         // Servers lose their disks and start empty at the same address after Duration
+	Freeze         Kind = "freeze"       // Servers or Agents are paused for Duration, then process what has arrived
+	Partition      Kind = "cut"          // Servers, together with Agents, are partitioned from the rest for Duration
+	Replace        Kind = "replace"      // Servers stop; empty machines at other addresses take over their slots after Duration
+	Disk           Kind = "disk"         // disks of Servers are faulty for Duration
+	Link           Kind = "link"         // links of Servers or Agents are faulty for Duration
+	KillAll        Kind = "kill-all"     // processes of all servers are killed at once and restart after Duration; disks are kept except those of Servers
+	PowerAll       Kind = "power-all"    // all servers lose power at once and return after Duration; Servers also lose their disks
+	RestartAll     Kind = "restart-all"  // all servers receive SIGTERM at once and restart after Duration
+	RollingRestart Kind = "roll"         // Servers receive SIGTERM one after the other at intervals of Duration, and restart
+	LoseReplies    Kind = "lose-replies" // answers to Operators are lost for Duration
+	Race           Kind = "race"         // Operators send orders concurrently on the same base
+	Burst          Kind = "storm"        // Operators send Count changes, each based on the one before, without a pause
+	InvalidConfig  Kind = "bad"          // Operators send a configuration that must be rejected
+	Worker         Kind = "worker"       // Workers leave, crash or send late heartbeats
+	Quota          Kind = "quota"        // processes of Servers and Agents run for only Count of every 100 ms, for Duration
+	Stall          Kind = "stall"        // goroutines of Servers pause at random between reading the clock and acting on it, for Duration
+	WipeTwice      Kind = "rewipe"       // Servers lose their disks, and lose them again soon after their return over slow links; Duration apart
 )
 
 // Variant distinguishes events of the same Kind.
 type Variant string
 
-// Variants of Cut. Each partitions Servers from the other servers, and all but the first also affect agents. The given Operators
+// Variants of Partition. Each partitions Servers from the other servers, and all but the first also affect agents. The given Operators
 // and Workers reach only Servers during the partition.
 const (
-	PartitionServers Variant = "keepers"  // only from the other servers; every agent, operator and worker still reaches them
-	PartitionSide    Variant = "side"     // from all agents but the given Agents, and from operators and workers as the deployment guide allows: they may reach either side
+	PartitionServers  Variant = "keepers"  // only from the other servers; every agent, operator and worker still reaches them
+	PartitionSide     Variant = "side"     // from all agents but the given Agents, and from operators and workers as the deployment guide allows: they may reach either side
 	PartitionInbound  Variant = "inward"   // messages to Servers are lost; messages from Servers arrive
 	PartitionOutbound Variant = "outward"  // messages from Servers are lost; messages to Servers arrive
-	PartitionAll     Variant = "isolated" // from everything else
+	PartitionAll      Variant = "isolated" // from everything else
 )
 
 // Variants of Replace.
@@ -99,7 +99,7 @@
 // Variants of Link.
 const (
 	LinkReset Variant = "reset" // every connection is reset once
-	LinkHold  Variant = "hold"  // data in flight and new connections are delayed until For has passed
+	LinkHold  Variant = "hold"  // data in flight and new connections are delayed until Duration has passed
 	LinkSlow  Variant = "slow"  // delays of hundreds of milliseconds; datagrams are lost, duplicated and reordered
 )
 
@@ -113,7 +113,7 @@
 	RaceBase   Variant = "base"   // an accepted body is sent with an older base
 )
 
-// Variants of Bad.
+// Variants of InvalidConfig.
 const (
 	InvalidBytes      Variant = "bytes"      // truncated or malformed body
 	InvalidService    Variant = "service"    // a route names an unknown service
@@ -125,11 +125,11 @@
 
 // Variants of Worker.
 const (
-	WorkerDrain           Variant = "drain"            // reports draining, then deregisters; a new incarnation starts after For
+	WorkerDrain           Variant = "drain"            // reports draining, then deregisters; a new incarnation starts after Duration
 	WorkerDeregister      Variant = "deregister"       // deregisters without draining and stops
 	WorkerDeregisterFirst Variant = "deregister-first" // deregisters, continues to serve, then stops
-	WorkerCrash           Variant = "crash"            // stops without notice; a new incarnation starts at the same address after For
-	WorkerLate            Variant = "late"             // its heartbeats are delayed by For
+	WorkerCrash           Variant = "crash"            // stops without notice; a new incarnation starts at the same address after Duration
+	WorkerLate            Variant = "late"             // its heartbeats are delayed by Duration
 )
 
 // Trigger is a condition that an event waits for.
@@ -148,12 +148,12 @@
 // variants lists the variants of each kind. Kinds without an entry have none.
 var variants = map[Kind][]Variant{
 	Partition:     {PartitionServers, PartitionSide, PartitionInbound, PartitionOutbound, PartitionAll},
-	Replace: {Planned, Unplanned},
-	Disk:    {DiskHang, DiskSlow, DiskFull},
-	Link:    {LinkReset, LinkHold, LinkSlow},
-	Race:    {RaceBodies, RaceSame, RaceRepeat, RaceOld, RaceAhead, RaceBase},
-	InvalidConfig:     {InvalidBytes, InvalidService, InvalidRoutes, InvalidWeights, InvalidTimeout, InvalidGeneration},
-	Worker:  {WorkerDrain, WorkerDeregister, WorkerDeregisterFirst, WorkerCrash, WorkerLate},
+	Replace:       {Planned, Unplanned},
+	Disk:          {DiskHang, DiskSlow, DiskFull},
+	Link:          {LinkReset, LinkHold, LinkSlow},
+	Race:          {RaceBodies, RaceSame, RaceRepeat, RaceOld, RaceAhead, RaceBase},
+	InvalidConfig: {InvalidBytes, InvalidService, InvalidRoutes, InvalidWeights, InvalidTimeout, InvalidGeneration},
+	Worker:        {WorkerDrain, WorkerDeregister, WorkerDeregisterFirst, WorkerCrash, WorkerLate},
 }
 
 var kinds = []Kind{Kill, Power, Wipe, Freeze, Partition, Replace, Disk, Link, KillAll, PowerAll, RestartAll, RollingRestart, LoseReplies, Race, Burst, InvalidConfig, Worker, Quota, Stall, WipeTwice}
--- a/internal/testkit/controlplanesim/simnet/network.go
+++ b/internal/testkit/controlplanesim/simnet/network.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// Cut blocks all paths for which blocks returns true, until heal is called.
+// Block blocks all paths for which blocks returns true, until heal is called.
 func (n *Network) Block(blocks func(Path) bool) (heal func()) {
 	n.mutex.Lock()
 	n.lastRule++
@@ -81,14 +81,14 @@
 	}
 }
 
-// Open reports whether data that is sent along the path now arrives.
+// Reachable reports whether data that is sent along the path now arrives.
 func (n *Network) Reachable(path Path) bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	return !n.blocked(path)
 }
 
-// Changed returns a channel that is closed when paths open or close.
+// PathsChanged returns a channel that is closed when paths open or close.
 func (n *Network) PathsChanged() <-chan struct{} {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
--- a/internal/testkit/controlplanesim/simnet/network_test.go
+++ b/internal/testkit/controlplanesim/simnet/network_test.go
@@ -171,7 +171,7 @@
 		write(t, a, "early")
 		write(t, b, "answer") // sent by code that runs before it notices the freeze
 		if !first.AwaitRunning() {
-			t.Fatal("Await of the process that was not frozen returned false")
+			t.Fatal("AwaitRunning of the process that was not frozen returned false")
 		}
 		_ = a.SetReadDeadline(time.Now().Add(time.Second))
 		if _, err := a.Read(make([]byte, 1)); !isTimeout(err) {
--- a/internal/testkit/controlplanesim/simnet/process.go
+++ b/internal/testkit/controlplanesim/simnet/process.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// Freeze freezes the process. It receives and sends nothing, and Await blocks.
+// Freeze freezes the process. It receives and sends nothing, and AwaitRunning blocks.
 func (p *Process) Freeze() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -69,7 +69,7 @@
 // Ended returns a channel that is closed when the process is killed or loses power.
 func (p *Process) Ended() <-chan struct{} { return p.ended }
 
-// Await blocks while the process is frozen. It returns true if the process runs and false if it is dead.
+// AwaitRunning blocks while the process is frozen. It returns true if the process runs and false if it is dead.
 func (p *Process) AwaitRunning() bool {
 	for {
 		p.mutex.Lock()
