--- a/internal/testkit/conformance/monitoring_cases.go
+++ b/internal/testkit/conformance/monitoring_cases.go
@@ -9,17 +9,17 @@
 )
 
 var waitCases = []testCase{
-	{"wait.timeout", "GFD.194 7.3", "a wait that times out is TimeoutException, and the job goes on", func(t *run) {
+	{"wait.timeout", "GFD.194 7.3", "a wait that times out fails with TimeoutException and leaves the job as it is", func(t *run) {
 		j := t.submitOnHold()
-		for _, span := range []string{"0", "0.2"} {
-			a := t.call("POST", t.path("/jobs/"+j.ID+"/wait"), `{"timeout":`+span+`}`)
+		for _, timeout := range []string{"0", "0.2"} {
+			a := t.call("POST", t.path("/jobs/"+j.ID+"/wait"), `{"timeout":`+timeout+`}`)
 			t.wantError(a, 504, drmaa.Timeout, "")
 			if a.fault.Job == nil || a.fault.Job.State != drmaa.QueuedHeld {
-				t.fail("the error does not tell of the job: %s", a.body)
+				t.fail("wait of %s s for held job %s: the error does not have the job as %s: %s", timeout, j.ID, drmaa.QueuedHeld, a.body)
 			}
 		}
 	}},
-	{"wait.bad", "binding, Waits", "a wait for nothing sensible is refused by attribute", func(t *run) {
+	{"wait.bad", "binding, Waits", "an invalid wait is rejected with the name of the attribute", func(t *run) {
 		j := t.submitOnHold()
 		for _, c := range [][2]string{{`{"timeout":-1}`, "timeout"}, {`{"timeout":1e9}`, "timeout"}, {`{"for":"rain"}`, "for"}} {
 			t.wantError(t.call("POST", t.path("/jobs/"+j.ID+"/wait"), c[0]), 400, drmaa.InvalidArgument, c[1])
@@ -31,19 +31,19 @@
 		j, err := t.session.Wait(t.ctx, t.submit(drmaa.JobTemplate{}).ID, client.Started)
 		t.must(err)
 		if !j.State.Started() && !j.State.Final() {
-			t.fail("%s", j.State)
+			t.fail("job %s after waitStarted is %s, want one that has started or ended", j.ID, j.State)
 		}
 	}},
-	{"wait.any", "GFD.194 7.2", "waitAnyTerminated returns a job of the list that has ended", func(t *run) {
+	{"wait.any", "GFD.194 7.2", "waitAnyTerminated returns an ended job of the list", func(t *run) {
 		a, b := t.submitOnHold(), t.submitOnHold()
 		t.must(t.session.Act(t.ctx, b.ID, "terminate"))
 		j, err := t.session.WaitAny(t.ctx, client.Terminated, "", a.ID, b.ID)
 		t.must(err)
 		if j.ID != b.ID {
-			t.fail("%s, not %s", j.ID, b.ID)
+			t.fail("waitAnyTerminated returned job %s, want %s, the one that has ended", j.ID, b.ID)
 		}
 	}},
-	{"wait.any.session", "GFD.194 7.2", "waitAnyTerminated over the session returns what has ended before and is not reaped", func(t *run) {
+	{"wait.any.session", "GFD.194 7.2", "waitAnyTerminated over the session returns a job that ended before the call and is not reaped", func(t *run) {
 		t.submitOnHold()
 		b := t.submitOnHold()
 		t.must(t.session.Act(t.ctx, b.ID, "terminate"))
@@ -52,24 +52,24 @@
 		j, err := t.session.WaitAny(t.ctx, client.Terminated, "")
 		t.must(err)
 		if j.ID != b.ID {
-			t.fail("%s, not %s", j.ID, b.ID)
+			t.fail("waitAnyTerminated returned job %s, want %s, the one that has ended", j.ID, b.ID)
 		}
 	}},
-	{"wait.any.array", "GFD.194 7.2", "waitAnyStarted and waitAnyTerminated work over an array", func(t *run) {
+	{"wait.any.array", "GFD.194 7.2", "waitAnyStarted and waitAnyTerminated accept an array", func(t *run) {
 		a := t.submitBulk(2, 0)
 		t.must(t.session.Act(t.ctx, drmaa.JobID(a.ID, 2), "release"))
-		for _, what := range []string{client.Started, client.Terminated} {
-			j, err := t.session.WaitAny(t.ctx, what, a.ID)
+		for _, event := range []string{client.Started, client.Terminated} {
+			j, err := t.session.WaitAny(t.ctx, event, a.ID)
 			t.must(err)
 			if j.ID != drmaa.JobID(a.ID, 2) {
-				t.fail("%s", j.ID)
+				t.fail("wait for %q over array %s returned job %s, want %s, the one that was released", event, a.ID, j.ID, drmaa.JobID(a.ID, 2))
 			}
 		}
 	}},
 }
 
 var listCases = []testCase{
-	{"list.pages", "binding, Lists", "pages neither repeat nor leave out jobs, while others come", func(t *run) {
+	{"list.pages", "binding, Lists", "pages neither repeat nor omit a job while others are submitted", func(t *run) {
 		t.submitBulk(11, 0)
 		seen := map[string]int{}
 		next := ""
@@ -87,14 +87,14 @@
 			if next = page.Next; next == "" {
 				break
 			}
-			t.submitOnHold() // newer than the pages to come
+			t.submitOnHold() // newer than the jobs of the remaining pages
 		}
 		if len(seen) != 11 {
-			t.fail("%d jobs of 11", len(seen))
+			t.fail("the pages listed %d jobs, want 11", len(seen))
 		}
 		for id, n := range seen {
 			if n > 1 {
-				t.fail("%s comes %d times", id, n)
+				t.fail("the pages listed job %s %d times, want once", id, n)
 			}
 		}
 	}},
@@ -109,11 +109,11 @@
 			var page drmaa.Page
 			t.decode(t.call("GET", t.path("/jobs?"+c.query), ""), &page)
 			if len(page.Jobs) != c.want {
-				t.fail("%s: %d jobs, not %d", c.query, len(page.Jobs), c.want)
+				t.fail("list with %s returned %d jobs, want %d", c.query, len(page.Jobs), c.want)
 			}
 		}
 	}},
-	{"list.bad", "binding, Lists", "an unknown filter or a bad value is refused by its name", func(t *run) {
+	{"list.bad", "binding, Lists", "an unknown filter or an invalid value is rejected with the name of the filter", func(t *run) {
 		for _, c := range [][2]string{{"colour=red", "colour"}, {"state=SLEEPING", "state"}, {"limit=0", "limit"}, {"limit=9999", "limit"},
 			{"next=zzz", "next"}, {"submittedFrom=yesterday", "submittedFrom"}, {"name=a&name=b", "name"}} {
 			t.wantError(t.call("GET", t.path("/jobs?"+c[0]), ""), 400, drmaa.InvalidArgument, c[1])
@@ -122,43 +122,43 @@
 }
 
 var eventCases = []testCase{
-	{"events.cursor", "GFD.194 8.7", "a cursor resumes the stream: each change of state comes once, in order", func(t *run) {
-		var at drmaa.Events
-		t.decode(t.call("GET", t.path("/events"), ""), &at)
+	{"events.cursor", "GFD.194 8.7", "a cursor resumes the stream: each state change is returned once, in order", func(t *run) {
+		var position drmaa.Events
+		t.decode(t.call("GET", t.path("/events"), ""), &position)
 		j := t.submitOnHold()
 		t.must(t.session.Act(t.ctx, j.ID, "terminate"))
 		var states []drmaa.State
 		for range 10 {
 			var got drmaa.Events
-			t.decode(t.call("GET", t.path("/events?timeout=5&limit=1&cursor="+at.Cursor), ""), &got)
+			t.decode(t.call("GET", t.path("/events?timeout=5&limit=1&cursor="+position.Cursor), ""), &got)
 			if got.Missed != 0 {
-				t.fail("%d missed", got.Missed)
+				t.fail("%d events were missed after the cursor %s, want none", got.Missed, position.Cursor)
 			}
 			for _, e := range got.Events {
 				if e.Job != j.ID || e.Event != drmaa.NewState || e.Session != t.session.Name {
-					t.fail("%+v", e)
+					t.fail("got the event %+v, want %s of job %s in session %s", e, drmaa.NewState, j.ID, t.session.Name)
 				}
 				states = append(states, e.State)
 			}
-			at = got
+			position = got
 			if len(states) == 2 {
 				break
 			}
 		}
 		if !slices.Equal(states, []drmaa.State{drmaa.QueuedHeld, drmaa.Failed}) {
-			t.fail("%v", states)
+			t.fail("states after submission on hold and terminate: got %v, want [%s %s]", states, drmaa.QueuedHeld, drmaa.Failed)
 		}
 	}},
-	{"events.stream", "binding, Events", "a stream brings events as they come, and its cursors resume it", func(t *run) {
-		var at drmaa.Events
-		t.decode(t.call("GET", t.path("/events"), ""), &at)
+	{"events.stream", "binding, Events", "a stream sends events as they occur, and its cursors resume it", func(t *run) {
+		var position drmaa.Events
+		t.decode(t.call("GET", t.path("/events"), ""), &position)
 		j := t.submitOnHold()
 		seen := 0
 		for range 2 {
-			for got, err := range t.session.Events(t.ctx, at.Cursor) {
+			for got, err := range t.session.Events(t.ctx, position.Cursor) {
 				t.must(err)
 				seen += len(got.Events)
-				at = *got
+				position = *got
 				break
 			}
 			if seen == 1 {
@@ -166,10 +166,10 @@
 			}
 		}
 		if seen != 2 {
-			t.fail("%d events", seen)
+			t.fail("the streams sent %d events, want 2: submission on hold and terminate", seen)
 		}
 	}},
-	{"events.bad", "binding, Events", "a bad cursor or parameter is refused by its name", func(t *run) {
+	{"events.bad", "binding, Events", "an invalid cursor or parameter is rejected with its name", func(t *run) {
 		for _, c := range [][2]string{{"cursor=zz", "cursor"}, {"timeout=-1", "timeout"}, {"limit=0", "limit"}, {"stream=maybe", "stream"}, {"x=1", "x"}} {
 			t.wantError(t.call("GET", t.path("/events?"+c[0]), ""), 400, drmaa.InvalidArgument, c[1])
 		}
@@ -177,13 +177,13 @@
 }
 
 var monitoringCases = []testCase{
-	{"monitoring.queues", "GFD.194 7.5", "getAllQueues lists the classes with what waits in them", func(t *run) {
+	{"monitoring.queues", "GFD.194 7.5", "getAllQueues lists the classes with their waiting jobs", func(t *run) {
 		t.submitOnHold()
 		all, err := t.client.Queues(t.ctx)
 		t.must(err)
-		at := slices.IndexFunc(all, func(q drmaa.Queue) bool { return q.Name == t.class })
-		if at < 0 || all[at].Held < 1 {
-			t.fail("%+v", all)
+		i := slices.IndexFunc(all, func(q drmaa.Queue) bool { return q.Name == t.class })
+		if i < 0 || all[i].Held < 1 {
+			t.fail("queues with a held job of class %s: got %+v, want that class with at least 1 held job", t.class, all)
 		}
 	}},
 	{"monitoring.machines", "GFD.194 7.5", "getAllMachines lists the prep workers", func(t *run) {
@@ -191,7 +191,7 @@
 		t.must(err)
 		for _, m := range all {
 			if m.Name == "" || m.State == "" {
-				t.fail("%+v", m)
+				t.fail("machine %+v has no name or no state", m)
 			}
 		}
 	}},
@@ -203,9 +203,9 @@
 				return
 			}
 		}
-		t.fail("not listed")
+		t.fail("held job %s is not among the jobs of all sessions", j.ID)
 	}},
-	{"monitoring.reservations", "GFD.194 7.5", "reservations are UnsupportedOperationException", func(t *run) {
+	{"monitoring.reservations", "GFD.194 7.5", "reservations are rejected with UnsupportedOperationException", func(t *run) {
 		t.wantError(t.call("GET", "/monitoring/reservations", ""), 422, drmaa.UnsupportedOperation, "")
 	}},
 }
--- a/internal/testkit/conformance/run.go
+++ b/internal/testkit/conformance/run.go
@@ -1,7 +1,6 @@
-// Package conformance checks a server against the batch API's binding
-// (docs/BATCH.md), clause by clause. Each case is named and has the text of what
-// it demands, with its source: a clause of GFD.194 (DRMAA version 2) or of the
-// binding.
+// Package conformance is a conformance test suite for servers of the batch API. Each case has a name, the requirement that
+// it checks, and the source of the requirement: a clause of GFD.194 (DRMAA version 2) or of its HTTP binding
+// (docs/BATCH.md).
 package conformance
 
 import (
@@ -21,14 +20,14 @@
 	"ospreybend/drmaa/client"
 )
 
-// Config names the server and the tenant.
+// Config is the server under test, the tenant's token and the selection of cases.
 type Config struct {
 	URL, Token string
-	Only       string        // cases whose name contains it; empty: all
-	Within     time.Duration // of one case
+	Only       string        // runs only the cases whose names contain it; empty: all
+	Within     time.Duration // time limit of one case; 0: 30 s
 }
 
-// Result is the outcome of a case.
+// Result is the outcome of one case.
 type Result struct {
 	Name   string  `json:"name"`
 	Source string  `json:"source"`
@@ -38,7 +37,7 @@
 	Millis float64 `json:"ms"`
 }
 
-// Report is the outcome of a run.
+// Report is the outcome of a run of the suite.
 type Report struct {
 	Server  string   `json:"server"`
 	Passed  int      `json:"passed"`
@@ -51,20 +50,20 @@
 	run                  func(*run)
 }
 
-// run is one case while it runs.
+// run is the state of one running case.
 type run struct {
 	ctx     context.Context
 	config  Config
 	client  *client.Client
 	session *client.Session
-	class   string // one of the server's
-	once    string // one whose jobs must not run twice; empty: none
+	class   string // of the jobs that cases submit
+	once    string // a class whose jobs must not run twice; empty: the server has none
 }
 
-// fault is the panic value with which a case fails.
-type fault struct{ text string }
+// failure is the panic value that ends a failed case.
+type failure struct{ text string }
 
-func (t *run) fail(format string, a ...any) { panic(fault{fmt.Sprintf(format, a...)}) }
+func (t *run) fail(format string, a ...any) { panic(failure{fmt.Sprintf(format, a...)}) }
 
 func (t *run) must(err error) {
 	if err != nil {
@@ -72,11 +71,11 @@
 	}
 }
 
-// errNoClass is returned when there is no class to submit jobs of.
-var errNoClass = errors.New("the server names no class (jobCategories)")
+// errNoClass is returned when the server offers no class for the jobs of the cases.
+var errNoClass = errors.New("the server lists no class in jobCategories")
 
-// Run runs the cases, each in a session of its own, which it destroys.
-func Run(ctx context.Context, config Config, each func(Result)) (*Report, error) {
+// Run runs the selected cases, each in a session of its own, which is destroyed afterwards. It calls onResult after each.
+func Run(ctx context.Context, config Config, onResult func(Result)) (*Report, error) {
 	if config.Within == 0 {
 		config.Within = 30 * time.Second
 	}
@@ -84,42 +83,42 @@
 	if err != nil {
 		return nil, err
 	}
-	first := run{config: config, client: cl}
+	template := run{config: config, client: cl}
 	m, err := cl.Manager(ctx)
 	if err != nil {
-		return nil, fmt.Errorf("the server does not answer as this binding's: %w", err)
+		return nil, fmt.Errorf("the session manager of %s does not answer as the binding requires: %w", config.URL, err)
 	}
 	if len(m.Categories) == 0 {
 		return nil, errNoClass
 	}
-	first.class = m.Categories[0]
+	template.class = m.Categories[0]
 	queues, err := cl.Queues(ctx)
 	if err != nil {
 		return nil, err
 	}
 	for _, q := range queues {
 		if q.NonIdempotent {
-			first.once = q.Name
+			template.once = q.Name
 		} else {
-			first.class = q.Name
+			template.class = q.Name
 		}
 	}
 	report := &Report{Server: m.DrmsName + " " + m.DrmsVersion}
-	for _, k := range cases() {
+	for _, c := range cases() {
 		if ctx.Err() != nil {
 			return report, ctx.Err()
 		}
-		if !strings.Contains(k.name, config.Only) {
+		if !strings.Contains(c.name, config.Only) {
 			continue
 		}
-		r := runCase(ctx, first, k)
+		r := runCase(ctx, template, c)
 		if r.Passed {
 			report.Passed++
 		} else {
 			report.Failed++
 		}
 		report.Results = append(report.Results, r)
-		each(r)
+		onResult(r)
 	}
 	return report, nil
 }
@@ -135,7 +134,7 @@
 		switch v := recover().(type) {
 		case nil:
 			r.Passed = true
-		case fault:
+		case failure:
 			r.Fault = v.text
 		default:
 			panic(v)
@@ -147,13 +146,13 @@
 	defer func() {
 		cleanup, cancel := context.WithTimeout(context.WithoutCancel(ctx), 5*time.Second)
 		defer cancel()
-		_ = s.Destroy(cleanup) // a case may have done so itself
+		_ = s.Destroy(cleanup) // the case may have destroyed the session itself
 	}()
 	testCase.run(&t)
 	return r
 }
 
-// answer is a response without interpretation.
+// answer is an HTTP response, with its error decoded if it has one.
 type answer struct {
 	status int
 	header http.Header
@@ -161,7 +160,7 @@
 	fault  drmaa.Error
 }
 
-// call makes one call without the client's retries.
+// call makes one call with the tenant's token, without the retries of the client.
 func (t *run) call(method, path, body string) answer {
 	return t.callAs(t.config.Token, method, path, body)
 }
@@ -180,33 +179,33 @@
 	a := answer{status: got.StatusCode, header: got.Header, body: text}
 	if a.status >= 400 {
 		if err := json.Unmarshal(text, &a.fault); err != nil || a.fault.Name == "" || a.fault.Message == "" {
-			t.fail("%s %s: status %d without an error of the binding's: %q", method, path, a.status, text)
+			t.fail("%s %s: the body of status %d is not an error of the binding: %q", method, path, a.status, text)
 		}
 	}
 	return a
 }
 
-// wantError fails unless the answer is the given error; attribute may be empty.
+// wantError fails the case unless the answer is the given error. An empty attribute matches any.
 func (t *run) wantError(a answer, status int, name drmaa.Name, attribute string) {
 	switch {
 	case a.status != status || a.fault.Name != name:
-		t.fail("status %d %s, not %d %s: %s", a.status, a.fault.Name, status, name, a.body)
+		t.fail("got status %d %s, want %d %s: %s", a.status, a.fault.Name, status, name, a.body)
 	case attribute != "" && a.fault.Attribute != attribute:
-		t.fail("the error names the attribute %q, not %q", a.fault.Attribute, attribute)
+		t.fail("the error has the attribute %q, want %q", a.fault.Attribute, attribute)
 	}
 }
 
-// wantClientError fails unless the client returns the given error.
+// wantClientError fails the case unless the client returned the given error.
 func (t *run) wantClientError(err error, name drmaa.Name) {
 	if !errors.Is(err, &drmaa.Error{Name: name}) {
-		t.fail("%v, not %s", err, name)
+		t.fail("got the error %v, want %s", err, name)
 	}
 }
 
-// path returns a path below the case's session.
+// path returns the path of a resource in the session of the case.
 func (t *run) path(rest string) string { return "/sessions/" + t.session.Name + rest }
 
-// submitOnHold submits a job that is on hold until its release.
+// submitOnHold submits a job that is held until its release.
 func (t *run) submitOnHold() *drmaa.Job { return t.submit(drmaa.JobTemplate{SubmitAsHold: true}) }
 
 func (t *run) submit(template drmaa.JobTemplate) *drmaa.Job {
@@ -229,20 +228,20 @@
 	j, err := t.session.Job(t.ctx, id)
 	t.must(err)
 	if !slices.Contains(want, j.State) {
-		t.fail("job %s is %s (%s), not %v", id, j.State, j.SubState, want)
+		t.fail("job %s is %s (%s), want one of %v", id, j.State, j.SubState, want)
 	}
 	return j
 }
 
-// template returns a job template with one more attribute.
+// template returns the JSON of a job template on hold with one more attribute, whose value is given as JSON.
 func (t *run) template(attribute, value string) string {
 	return fmt.Sprintf(`{"remoteCommand":%q,"submitAsHold":true,%q:%s}`, t.class, attribute, value)
 }
 
-// decode decodes an answer that must not be an error.
+// decode decodes the body of an answer and fails the case if that is an error.
 func (t *run) decode(a answer, into any) {
 	if a.status >= 300 {
-		t.fail("status %d: %s", a.status, a.body)
+		t.fail("got status %d, want below 300: %s", a.status, a.body)
 	}
 	t.must(json.Unmarshal(a.body, into))
 }
