--- a/internal/testkit/endtoend/evacuation.go
+++ b/internal/testkit/endtoend/evacuation.go
@@ -11,55 +11,56 @@
 	"time"
 )
 
-// What an evacuation trial waits for, in requests answered by each process in place of time.
+// The phases of an evacuation trial end after a number of requests answered by each process, not after a time, so that the
+// verdict does not depend on the speed of the machine.
 const (
 	requestsBeforeFault = 60
-	requestsDuringFault = 60  // in the second part of the fault, after as many for the processes to react
-	requestsEvacuated   = 60  // from the first to the last one within evacuations that the process held throughout
-	requestsAfterFault  = 60  // and the fault's end
-	maxUnledRequests    = .01 // part of the fault's requests that may go to a zone that is not evacuated
+	requestsDuringFault = 60  // in the second part of the fault; the first part has as many, for the processes to react
+	requestsEvacuated   = 60  // that began and ended while the process held the evacuation
+	requestsAfterFault  = 60  // sent after the end of the fault
+	maxUnledRequests    = .01 // fraction of the requests during the fault that may go to a zone without it being evacuated
 )
 
 const (
-	statusTimeout      = 5 * time.Second // of one call to a process's administration
-	maxLoadSpan        = 10 * time.Minute
-	evacuatedPhaseName = "left"
+	statusTimeout      = 5 * time.Second  // of one call to a process's admin API
+	maxLoadSpan        = 10 * time.Minute // the load stops by then, also if a condition is never met
+	evacuatedPhaseName = "left"           // as in the fleet status of a node
 )
 
-// nodeStatus is what a process says of the fleet.
+// nodeStatus is the part of a process's fleet status that the trial uses.
 type nodeStatus struct {
 	epoch        uint64
-	led          bool
-	leaseChanges int
-	evacuated    bool // the zone in question is evacuated, and this process gives it nothing
+	led          bool // the process follows the commands of a leader
+	leaseChanges int  // leases gained or lost since its start
+	evacuated    bool // the failing zone is evacuated, and this process gives it no share
 }
 
-// holdsSame reports whether the process held one evacuation from the other status until this one.
+// holdsSame reports whether the process held one evacuation without interruption from the earlier status to this one.
 func (n nodeStatus) holdsSame(earlier nodeStatus) bool { return n.evacuated && n.led && n == earlier }
 
-// evacuationSpan is a span during which a process held an evacuation throughout.
+// evacuationSpan is a span of time during which a process held an evacuation without interruption.
 type evacuationSpan struct{ from, to time.Time }
 
 // covers reports whether the request began and ended within the span.
-func (h evacuationSpan) covers(r request) bool {
-	return r.sentAt.After(h.from) && r.endedAt.Before(h.to)
+func (s evacuationSpan) covers(r request) bool {
+	return r.sentAt.After(s.from) && r.endedAt.Before(s.to)
 }
 
-// evacuation is a trial that proceeds by conditions: no verdict depends on how fast the machine is. How soon a zone is
-// evacuated is for Zone to measure and for package simulation to prove.
+// evacuation is a trial whose phases end by conditions, so that no verdict depends on the speed of the machine. Zone
+// measures how soon a zone is evacuated, and package simulation checks it.
 type evacuation struct {
 	*trial
 	faults zoneFaults
 	spared map[string]bool
-	begun  time.Time // of the faults
+	begun  time.Time // start of the faults
 
 	spansMutex      sync.Mutex
 	evacuationSpans map[string][]evacuationSpan // by node
 }
 
-// Evacuation has a zone fail as Zone does, or an operator evacuate a healthy one. While a process holds the command to
-// leave the zone, it must send no request there that came meanwhile. A disabled check is wanted to show: the trial then
-// goes on until it does.
+// Evacuation runs a trial in which a zone fails as in Zone, or an operator evacuates a healthy one. While a process holds
+// the command to evacuate the zone, it must not send there any request that arrives meanwhile. If the plan disables a
+// check of the protocol, the trial goes on until such a request was sent.
 func Evacuation(ctx context.Context, plan Plan) (Report, error) {
 	report := Report{Kind: "evacuation", Seed: plan.Seed, Figures: map[string]float64{}}
 	s, err := newTrial(plan)
@@ -79,7 +80,7 @@
 	return report, err
 }
 
-// noteEvacuationSpans adds what was seen of the evacuation to the story.
+// noteEvacuationSpans adds each process's spans of the evacuation to the events.
 func (e *evacuation) noteEvacuationSpans() {
 	e.spansMutex.Lock()
 	defer e.spansMutex.Unlock()
@@ -92,7 +93,7 @@
 	}
 }
 
-// play runs the phases of the trial under load, and audits them.
+// play runs the phases of the trial under load and then checks the invariants.
 func (e *evacuation) play(ctx context.Context, report *Report) error {
 	polling, stopPolling := context.WithCancel(ctx)
 	defer stopPolling()
@@ -104,15 +105,15 @@
 	close(stop)
 	<-done
 	stopPolling()
-	looks := <-polled
+	observations := <-polled
 	if err != nil {
 		return err
 	}
 	violate := report.violations()
 	e.auditRequests(e.spared, violate)
-	auditEpochs(looks, violate)
+	auditEpochs(observations, violate)
 	for _, sent := range e.sentDespiteEvacuation() {
-		violate("request %s was sent to zone %s, which %s held evacuated", sent.id, e.faults.zone, sent.node)
+		violate("request %s was sent to zone %s while %s held the evacuation of that zone", sent.id, e.faults.zone, sent.node)
 	}
 	report.Figures["requests"] = float64(len(e.requests))
 	return nil
@@ -122,7 +123,7 @@
 func (e *evacuation) phases(ctx context.Context) error {
 	e.countRequests(e.faults.zone)
 	if err := e.awaitAnswers(ctx, time.Time{}, requestsBeforeFault); err != nil {
-		return fmt.Errorf("before the fault: %w", err)
+		return fmt.Errorf("waiting for answers before the fault: %w", err)
 	}
 	end, err := e.begin(ctx)
 	if err != nil {
@@ -138,28 +139,28 @@
 	stopObserving()
 	observers.Wait()
 	if err != nil {
-		return fmt.Errorf("during the fault: %w", err)
+		return fmt.Errorf("waiting for the effects of the fault: %w", err)
 	}
 	end()
 	if err := e.awaitAnswers(ctx, time.Now(), requestsAfterFault); err != nil {
-		return fmt.Errorf("after the fault: %w", err)
+		return fmt.Errorf("waiting for answers after the fault: %w", err)
 	}
 	return nil
 }
 
-// begin begins the faults, or has an operator evacuate the zone. end ends that.
+// begin injects the faults, or has an operator evacuate the zone. end reverts either.
 func (e *evacuation) begin(ctx context.Context) (end func(), err error) {
 	if !e.plan.ByHand {
 		e.spared, end = e.beginFaults(e.faults)
 		return end, nil
 	}
 	if err := e.command(ctx, "leave"); err != nil {
-		return nil, fmt.Errorf("the operator's command: %w", err)
+		return nil, fmt.Errorf("operator's command to evacuate zone %s: %w", e.faults.zone, err)
 	}
 	return func() { _ = e.command(ctx, "clear") }, nil
 }
 
-// command has the first node pass an operator's command on the zone to the voters, until that succeeds.
+// command sends an operator's command for the zone to the first node, which passes it to the voters, until that succeeds.
 func (e *evacuation) command(ctx context.Context, action string) error {
 	e.note("operator: %s zone %s", action, e.faults.zone)
 	return e.await(ctx, func() bool {
@@ -168,7 +169,7 @@
 	})
 }
 
-// shown reports whether enough was seen of the fault.
+// shown reports whether the trial has seen enough of the fault to end it.
 func (e *evacuation) shown() bool {
 	if e.plan.Without != "" {
 		return len(e.sentDespiteEvacuation()) > 0
@@ -179,8 +180,8 @@
 	return e.answeredWithinEvacuations() >= requestsEvacuated || e.answeredSince(e.begun) >= 4*requestsDuringFault && e.barelyUsed()
 }
 
-// barelyUsed reports whether the processes by themselves send next to nothing to the failing zone: then too little is
-// seen of it to evacuate it.
+// barelyUsed reports whether the processes send almost nothing to the failing zone of their own accord: the leader then
+// sees too few requests there to evacuate it.
 func (e *evacuation) barelyUsed() bool {
 	all, sent := 0, 0
 	for _, r := range e.ended() {
@@ -195,7 +196,7 @@
 	return float64(sent) <= maxUnledRequests*float64(all)
 }
 
-// judgedNodes returns the nodes that are not faulty themselves.
+// judgedNodes returns the nodes at which no fault was injected.
 func (e *evacuation) judgedNodes() (out []*Process) {
 	for _, node := range e.nodes {
 		if !e.spared[node.Name] {
@@ -208,7 +209,7 @@
 // observe records the spans during which a node holds the evacuation.
 func (e *evacuation) observe(ctx context.Context, node *Process) {
 	var earlier nodeStatus
-	index := -1 // of the span that is open
+	index := -1 // of the open span; -1: none
 	for ctx.Err() == nil {
 		asked := time.Now()
 		status, err := e.nodeStatus(ctx, node)
@@ -229,7 +230,7 @@
 	}
 }
 
-// pause waits for a time, or until the context ends.
+// pause waits for the given span or until the context ends.
 func pause(ctx context.Context, span time.Duration) {
 	select {
 	case <-ctx.Done():
@@ -237,19 +238,19 @@
 	}
 }
 
-// withinEvacuation reports whether the node of a request held the evacuation from before the request until after it.
+// withinEvacuation reports whether the node of a request held the evacuation from before the request to after it.
 func (e *evacuation) withinEvacuation(r request) bool {
 	e.spansMutex.Lock()
 	defer e.spansMutex.Unlock()
-	for _, h := range e.evacuationSpans[r.node] {
-		if h.covers(r) {
+	for _, span := range e.evacuationSpans[r.node] {
+		if span.covers(r) {
 			return true
 		}
 	}
 	return false
 }
 
-// sentDespiteEvacuation returns the requests that were sent to the zone though their node held its evacuation.
+// sentDespiteEvacuation returns the requests that were sent to the zone although their node held its evacuation.
 func (e *evacuation) sentDespiteEvacuation() (out []request) {
 	for _, r := range e.ended() {
 		if e.wentToZone(r) && e.withinEvacuation(r) {
@@ -269,15 +270,15 @@
 	return false
 }
 
-// answeredWithinEvacuations returns how many requests each node has answered within evacuations, at least.
+// answeredWithinEvacuations returns the least number, over the judged nodes, of requests answered within evacuations.
 func (e *evacuation) answeredWithinEvacuations() int { return e.fewest(e.withinEvacuation) }
 
-// answeredSince returns how many requests that came after a time each node has answered, at least.
+// answeredSince returns the least number, over the judged nodes, of answered requests that were sent after start.
 func (e *evacuation) answeredSince(start time.Time) int {
 	return e.fewest(func(r request) bool { return r.sentAt.After(start) })
 }
 
-// fewest returns the least number of ended requests that match, over all judged nodes.
+// fewest returns the least number, over the judged nodes, of ended requests that match.
 func (e *evacuation) fewest(match func(request) bool) int {
 	counts := map[string]int{}
 	for _, r := range e.ended() {
@@ -294,12 +295,12 @@
 	return least
 }
 
-// awaitAnswers waits until each judged node has answered so many requests that came after a time.
+// awaitAnswers waits until each judged node has answered count requests that were sent after start.
 func (e *evacuation) awaitAnswers(ctx context.Context, start time.Time, count int) error {
 	return e.await(ctx, func() bool { return e.answeredSince(start) >= count })
 }
 
-// await waits for a condition, until the context ends.
+// await polls until the condition is met or the context ends.
 func (e *evacuation) await(ctx context.Context, met func() bool) error {
 	for !met() {
 		pause(ctx, pollInterval)
@@ -310,10 +311,10 @@
 	return nil
 }
 
-// errAdminStatus is wrapped when a node's administration answers with another status than 200.
-var errAdminStatus = errors.New("a node's administration rejected a call")
+// errAdminStatus is wrapped when a node's admin API answers with a status other than 200.
+var errAdminStatus = errors.New("admin API of a node rejected a call")
 
-// callAdmin calls a node's administration.
+// callAdmin calls the admin API of a node and returns the body of the response.
 func (e *evacuation) callAdmin(ctx context.Context, node *Process, method, target string) (string, error) {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
@@ -329,12 +330,12 @@
 	defer response.Body.Close()
 	text, err := io.ReadAll(response.Body)
 	if err == nil && response.StatusCode != http.StatusOK {
-		err = fmt.Errorf("%w: status %d", errAdminStatus, response.StatusCode)
+		err = fmt.Errorf("%w: %s %s at %s: status %d", errAdminStatus, method, target, node.Name, response.StatusCode)
 	}
 	return string(text), err
 }
 
-// nodeStatus asks a node what it holds of the failing zone.
+// nodeStatus returns a node's fleet status with regard to the failing zone.
 func (e *evacuation) nodeStatus(ctx context.Context, node *Process) (nodeStatus, error) {
 	text, err := e.callAdmin(ctx, node, http.MethodGet, "/-/fleet")
 	if err != nil {
@@ -343,7 +344,7 @@
 	return parseNodeStatus(text, e.faults.zone)
 }
 
-// parseNodeStatus reads the text of a node's fleet status.
+// parseNodeStatus parses the text of a node's fleet status with regard to a zone.
 func parseNodeStatus(text, zone string) (status nodeStatus, err error) {
 	var refused int
 	if _, err := fmt.Sscanf(text, "epoch %d, led %t, older orders refused %d, leases gained or lost %d", &status.epoch, &status.led,
--- a/internal/testkit/endtoend/process.go
+++ b/internal/testkit/endtoend/process.go
@@ -15,7 +15,7 @@
 // readyTimeout is how long a process may take to report that it is ready.
 const readyTimeout = 15 * time.Second
 
-// Process is one process of the built program.
+// Process is one process of the program under test.
 type Process struct {
 	Name, Zone string
 	dir        string
@@ -23,19 +23,19 @@
 	args       []string
 	env        []string
 	cmd        *exec.Cmd
-	ended      chan struct{}
+	ended      chan struct{} // closed once the last started process has ended
 	state      *os.ProcessState
 	starts     int
-	wanted     bool // it should run
+	wanted     bool // the process should be running
 }
 
-// Start starts the process and waits until it signals that all its addresses answer.
+// Start starts the process and waits until it reports that it accepts connections on all its addresses.
 func (p *Process) Start() error {
-	ready, tell, err := os.Pipe()
+	ready, readyWriter, err := os.Pipe()
 	if err != nil {
 		return err
 	}
-	defer tell.Close()
+	defer readyWriter.Close()
 	log, err := os.OpenFile(p.log(), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		ready.Close()
@@ -44,7 +44,7 @@
 	defer log.Close()
 	p.cmd = exec.Command(p.program, p.args...)
 	p.cmd.Env = append(append(os.Environ(), p.env...), "OSPREYBEND_READY_FD=3")
-	p.cmd.ExtraFiles, p.cmd.Stderr, p.cmd.Stdout = []*os.File{tell}, log, log
+	p.cmd.ExtraFiles, p.cmd.Stderr, p.cmd.Stdout = []*os.File{readyWriter}, log, log
 	p.starts++
 	if err := p.cmd.Start(); err != nil {
 		ready.Close()
@@ -62,20 +62,20 @@
 	_ = ready.SetReadDeadline(time.Now().Add(readyTimeout))
 	if line, err := bufio.NewReader(ready).ReadString('\n'); err != nil || line != "ready\n" {
 		_ = p.Kill()
-		return fmt.Errorf("%s is not ready; it wrote %q: %w", p.Name, p.logTail(), err)
+		return fmt.Errorf("%s did not report that it is ready within %v; its log ends with %q: %w", p.Name, readyTimeout, p.logTail(), err)
 	}
 	return nil
 }
 
 func (p *Process) log() string { return filepath.Join(p.dir, p.Name+".log") }
 
-// logTail returns the end of the process's log.
+// logTail returns the last 1500 bytes of the process's log.
 func (p *Process) logTail() string {
 	text, _ := os.ReadFile(p.log())
 	return strings.TrimSpace(string(text[max(0, len(text)-1500):]))
 }
 
-// State reports whether the process runs, and whether it should.
+// State reports whether the process is running and whether it should be.
 func (p *Process) State() (runs, should bool) {
 	if p.ended == nil {
 		return false, p.wanted
@@ -88,7 +88,7 @@
 	}
 }
 
-// Kill ends the process by SIGKILL.
+// Kill kills the process with SIGKILL and waits for its end.
 func (p *Process) Kill() error {
 	p.wanted = false
 	if runs, _ := p.State(); !runs {
@@ -101,8 +101,8 @@
 	return nil
 }
 
-// Freeze stops the process until Thaw.
+// Freeze stops the process with SIGSTOP until Thaw.
 func (p *Process) Freeze() error { return p.cmd.Process.Signal(syscall.SIGSTOP) }
 
-// Thaw continues a frozen process.
+// Thaw continues a frozen process with SIGCONT.
 func (p *Process) Thaw() error { return p.cmd.Process.Signal(syscall.SIGCONT) }
--- a/internal/testkit/endtoend/proxy.go
+++ b/internal/testkit/endtoend/proxy.go
@@ -1,6 +1,6 @@
-// Package endtoend tests the built program as many processes over loopback, with faults between them: a proxy on each
-// link that delays, drops and resets, in one direction or both; processes killed, frozen and restarted. It reports the
-// outcome of every request.
+// Package endtoend tests the built program as a fleet of processes on loopback, with injected faults: a proxy on each link
+// withholds, delays or resets traffic in one direction or both, and processes are killed, frozen and restarted. It records
+// the outcome of every request.
 package endtoend
 
 import (
@@ -9,33 +9,34 @@
 	"time"
 )
 
-// maxPendingFragments is how many reads are buffered on a connection while its link is delayed.
+// maxPendingFragments is how many fragments of a connection are buffered while its link withholds them.
 const maxPendingFragments = 1024
 
-// Link describes what happens to bytes from one end to the other.
+// Link describes how a proxy treats the bytes of one direction.
 type Link struct {
-	Delayed bool          // nothing arrives, and nothing is lost, as in a partition
-	Delay   time.Duration // of each piece
-	Cut     bool          // connections are reset, new ones are closed at once
+	Delayed bool          // bytes are withheld until this is false again, as in a partition that heals
+	Delay   time.Duration // of each fragment
+	Cut     bool          // connections are reset, and new ones are closed at once
 }
 
-// Proxy relays the connections of one process to another. The first is configured with its address.
+// Proxy relays the connections from one process to another. The process that connects is configured with the proxy's
+// address.
 type Proxy struct {
-	From, To string // who is on its ends
+	From, To string // names of the process that connects and of the one that accepts
 	target   string
 	listener net.Listener
 
 	mu      sync.Mutex
-	changed chan struct{}
-	out, in Link // from From to To, and back
+	changed chan struct{} // closed and replaced when a link changes or the proxy closes
+	out, in Link          // from From to To, and back
 	conns   map[net.Conn]bool
-	passed  []time.Time // when pieces went out from From to To, if they are counted
-	ids     map[string]bool
+	passed  []time.Time     // when fragments were sent from From to To, if counts is set
+	ids     map[string]bool // of the requests that were sent from From to To, if counts is set
 	counts  bool
 	ended   bool
 }
 
-// NewProxy listens at an address of its own and carries to the target.
+// NewProxy starts a proxy at a free loopback port, which relays to the target.
 func NewProxy(from, to, target string) (*Proxy, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -47,10 +48,10 @@
 	return p, nil
 }
 
-// Address is where it listens.
+// Address returns the address at which the proxy listens.
 func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
-// Set changes how bytes fare, out and back.
+// Set replaces the treatment of the bytes from From to To and of those back.
 func (p *Proxy) Set(out, in Link) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -72,7 +73,7 @@
 	}
 }
 
-// Close ends it.
+// Close stops the proxy and resets its connections.
 func (p *Proxy) Close() {
 	_ = p.listener.Close()
 	p.mu.Lock()
@@ -83,13 +84,13 @@
 	p.reset()
 }
 
-// Count begins to record what goes out.
+// Count begins to record the fragments and requests that From sends.
 func (p *Proxy) Count() { p.mu.Lock(); p.counts = true; p.mu.Unlock() }
 
-// HasRequest reports whether a request with the ID went out.
+// HasRequest reports whether From has sent a request with the ID since Count.
 func (p *Proxy) HasRequest(id string) bool { p.mu.Lock(); defer p.mu.Unlock(); return p.ids[id] }
 
-// SendTimes are the times at which pieces went out.
+// SendTimes returns the times at which From has sent fragments since Count.
 func (p *Proxy) SendTimes() []time.Time { p.mu.Lock(); defer p.mu.Unlock(); return p.passed }
 
 func (p *Proxy) accept() {
@@ -102,7 +103,7 @@
 	}
 }
 
-// add notes a connection, so that it can be broken; false: it is to be broken now.
+// add registers a connection, so that it can be reset later. It returns false if the connection is to be closed at once.
 func (p *Proxy) add(c net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -113,13 +114,14 @@
 	return true
 }
 
+// relay relays one connection until either end closes it.
 func (p *Proxy) relay(client net.Conn) {
 	defer p.remove(client)
 	if !p.add(client) {
 		return
 	}
-	// The client sends first. What it sends is read, and counted, while the network is
-	// gone; it arrives when that is back.
+	// The client sends first. Its bytes are read and counted while the link withholds them, and are sent on once the link
+	// delivers again.
 	first := p.read(client)
 	head, ok := <-first
 	if !ok || !p.await(func() Link { return p.out }) {
@@ -128,29 +130,29 @@
 	select {
 	case more, ok := <-first:
 		if !ok {
-			return // who connected has gone while the network was: nothing of it arrives
+			return // the client closed while the link withheld its bytes: none of them is delivered
 		}
 		head = append(head, more...)
 	default:
 	}
-	far, err := net.DialTimeout("tcp", p.target, time.Second)
+	server, err := net.DialTimeout("tcp", p.target, time.Second)
 	if err != nil {
 		return
 	}
-	defer p.remove(far)
-	if !p.add(far) {
+	defer p.remove(server)
+	if !p.add(server) {
 		return
 	}
 	done := make(chan struct{}, 2)
-	go func() { p.forward(far, head, first, true); done <- struct{}{} }()
-	go func() { p.forward(client, nil, p.read(far), false); done <- struct{}{} }()
+	go func() { p.forward(server, head, first, true); done <- struct{}{} }()
+	go func() { p.forward(client, nil, p.read(server), false); done <- struct{}{} }()
 	<-done
 	_ = client.Close()
-	_ = far.Close()
+	_ = server.Close()
 	<-done
 }
 
-// read reads what comes on a connection until its end.
+// read sends the fragments that arrive on a connection to the returned channel, and closes that at the connection's end.
 func (p *Proxy) read(from net.Conn) <-chan []byte {
 	fragments := make(chan []byte, maxPendingFragments)
 	outgoing := from.LocalAddr().String() == p.listener.Addr().String()
@@ -174,7 +176,7 @@
 	return fragments
 }
 
-// recordOutgoing records a piece that goes out, and the IDs of the requests whose heads end in it.
+// recordOutgoing records the sending of a fragment and the IDs of the requests that it completes.
 func (p *Proxy) recordOutgoing(ids []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -197,11 +199,11 @@
 	_ = c.Close()
 }
 
-// await waits while the link delays bytes. It returns false once the proxy is closed.
-func (p *Proxy) await(of func() Link) bool {
+// await waits while the link withholds bytes. It returns false once the proxy is closed.
+func (p *Proxy) await(link func() Link) bool {
 	for {
 		p.mu.Lock()
-		l, changed, ended := of(), p.changed, p.ended
+		l, changed, ended := link(), p.changed, p.ended
 		p.mu.Unlock()
 		if ended {
 			return false
@@ -213,31 +215,33 @@
 	}
 }
 
+// forward delivers the head and then the fragments to one end, as the link of that direction allows, and closes its
+// sending side after them.
 func (p *Proxy) forward(to net.Conn, head []byte, fragments <-chan []byte, out bool) {
-	of := func() Link {
+	link := func() Link {
 		if out {
 			return p.out
 		}
 		return p.in
 	}
-	carry := func(piece []byte) bool {
+	deliver := func(fragment []byte) bool {
 		p.mu.Lock()
-		delay := of().Delay
+		delay := link().Delay
 		p.mu.Unlock()
 		if delay > 0 {
 			time.Sleep(delay)
 		}
-		if !p.await(of) {
+		if !p.await(link) {
 			return false
 		}
-		_, err := to.Write(piece)
+		_, err := to.Write(fragment)
 		return err == nil
 	}
-	if len(head) > 0 && !carry(head) {
+	if len(head) > 0 && !deliver(head) {
 		return
 	}
-	for piece := range fragments {
-		if !carry(piece) {
+	for fragment := range fragments {
+		if !deliver(fragment) {
 			return
 		}
 	}
--- a/internal/testkit/endtoend/request_ids.go
+++ b/internal/testkit/endtoend/request_ids.go
@@ -7,15 +7,15 @@
 
 const (
 	requestIDField = "req-id"
-	maxFieldBytes  = 8 << 10 // of a line that is kept until its end arrives
+	maxFieldBytes  = 8 << 10 // of an incomplete line that is kept until its end arrives
 )
 
-// requestIDs finds the IDs of the requests on a connection, whose bytes may come in any fragments.
+// requestIDs extracts the IDs of the requests on a connection from its bytes, in whatever fragments they arrive.
 type requestIDs struct {
-	line []byte // the begin of a line whose end has not arrived
+	line []byte // beginning of a line whose end has not arrived
 }
 
-// scan returns the IDs in the fields that the fragment completes.
+// scan returns the IDs in the header fields that the fragment completes.
 func (r *requestIDs) scan(fragment []byte) (ids []string) {
 	r.line = append(r.line, fragment...)
 	for {
@@ -29,7 +29,7 @@
 		r.line = rest
 	}
 	if len(r.line) > maxFieldBytes {
-		r.line = nil // a body
+		r.line = nil // too long for a header field: part of a body
 	}
 	return ids
 }
--- a/internal/testkit/endtoend/trial.go
+++ b/internal/testkit/endtoend/trial.go
@@ -21,17 +21,17 @@
 // Plan describes a trial.
 type Plan struct {
 	Program     string   // the built program
-	Env         []string // of its processes, besides their own
+	Env         []string // additional environment of the processes
 	Seed        uint64
-	Alone       bool   // the same faults, with each process for itself
-	Without     string // a check of the protocol left out
-	ByHand      bool   // of an evacuation: no faults, an operator evacuates a zone
-	QuietBefore time.Duration
+	Alone       bool          // no voters: the same faults, with nodes that do not coordinate
+	Without     string        // name of a check of the protocol to disable; empty: none
+	ByHand      bool          // evacuation trials only: no faults, an operator evacuates a zone
+	QuietBefore time.Duration // without faults
 	Faulty      time.Duration
-	After       time.Duration
+	After       time.Duration // without faults
 	Rate        float64       // requests a second at each node
-	DialTimeout time.Duration // of the clients; 0: the load generator's
-	Dir         string        // for files; the caller's to remove
+	DialTimeout time.Duration // of the clients; 0: the load generator's default
+	Dir         string        // for the processes' files; the caller removes it
 }
 
 // Report is the result of a trial.
@@ -41,7 +41,7 @@
 	Processes  int                `json:"processes"`
 	Violations []string           `json:"violations"`
 	Figures    map[string]float64 `json:"figures"`
-	Events     []string           `json:"story"` // the events, each with its time
+	Events     []string           `json:"story"` // what happened, each event with its time
 }
 
 var zones = []string{"a", "b", "c"}
@@ -50,8 +50,8 @@
 	nodesPerZone   = 2
 	workersPerZone = 3
 	slotsPerWorker = 8
-	jobRun         = 150 * time.Millisecond
-	bookings       = "auftrag-buchen"
+	jobRun         = 150 * time.Millisecond // how long a worker runs a job
+	bookings       = "auftrag-buchen"       // the class whose jobs must not run twice
 )
 
 var classes = []fakeplatform.Class{
@@ -60,7 +60,7 @@
 	{Name: bookings, Target: 800 * time.Millisecond, Timeout: 4 * time.Second, Value: 8, Effect: "non_idempotent"},
 }
 
-// shares are the classes' parts of the requests.
+// shares are the fractions of the requests by class.
 var shares = []float64{0.5, 0.3, 0.2}
 
 // request is one client request and its outcome.
@@ -75,14 +75,14 @@
 	sentAt, endedAt time.Time // as the client saw them
 }
 
-// trial is the processes of a trial and the proxies between them.
+// trial is a running trial: its processes, the proxies between them, and the requests and events so far.
 type trial struct {
 	plan        Plan
 	rng         *rand.Rand
 	nodes       []*Process
 	voters      []*Process
-	addresses   map[string]string // addresses by process
-	admins      map[string]string // addresses of the nodes' administration
+	addresses   map[string]string // by process
+	admins      map[string]string // addresses of the nodes' admin APIs, by node
 	proxies     []*Proxy
 	workers     map[string][]*fakeplatform.Worker // by zone
 	discoveries []*fakeplatform.Discovery
@@ -110,22 +110,22 @@
 	}
 	if !plan.Alone {
 		for i, z := range zones {
-			at, err := fakeplatform.FreeAddress()
+			address, err := fakeplatform.FreeAddress()
 			if err != nil {
 				return s, err
 			}
 			v := &Process{Name: "v" + strconv.Itoa(i+1), Zone: z, dir: plan.Dir, program: plan.Program, args: []string{"voter"}}
-			s.addresses[v.Name] = at
+			s.addresses[v.Name] = address
 			s.voters = append(s.voters, v)
 		}
 	}
 	for i := range nodesPerZone * len(zones) {
-		at, err := fakeplatform.FreeAddress()
+		address, err := fakeplatform.FreeAddress()
 		if err != nil {
 			return s, err
 		}
 		n := &Process{Name: "n" + strconv.Itoa(i+1), Zone: zones[i%len(zones)], dir: plan.Dir, program: plan.Program, args: []string{"serve"}}
-		s.addresses[n.Name] = at
+		s.addresses[n.Name] = address
 		if s.admins[n.Name], err = fakeplatform.FreeAddress(); err != nil {
 			return s, err
 		}
@@ -144,7 +144,7 @@
 	return s, nil
 }
 
-// newProxy creates a proxy between two processes, or a process and a worker.
+// newProxy creates a proxy from a process to another process or a worker, and returns its address.
 func (s *trial) newProxy(from, to, target string) (string, error) {
 	p, err := NewProxy(from, to, target)
 	if err != nil {
@@ -154,46 +154,48 @@
 	return p.Address(), nil
 }
 
-// prepare writes a process's files. The addresses of other processes in them are proxies of its own.
-func (s *trial) prepare(plan *Process, voter uint64) error {
-	var f strings.Builder
-	fmt.Fprintf(&f, "enabled = %v\nfleet = \"trial\"\nzone = %q\n", !s.plan.Alone, plan.Zone)
+// prepare writes the configuration files of a process. Their addresses of other processes are those of proxies that only
+// this process uses. voter is the ID of a voter; 0: the process is a node.
+func (s *trial) prepare(process *Process, voter uint64) error {
+	var fleet strings.Builder
+	fmt.Fprintf(&fleet, "enabled = %v\nfleet = \"trial\"\nzone = %q\n", !s.plan.Alone, process.Zone)
 	for i, v := range s.voters {
-		at := s.addresses[v.Name]
-		if v != plan {
+		address := s.addresses[v.Name]
+		if v != process {
 			var err error
-			if at, err = s.newProxy(plan.Name, v.Name, at); err != nil {
+			if address, err = s.newProxy(process.Name, v.Name, address); err != nil {
 				return err
 			}
 		}
-		fmt.Fprintf(&f, "[[voters]]\nid = %d\nzone = %q\naddress = %q\n", i+1, v.Zone, at)
+		fmt.Fprintf(&fleet, "[[voters]]\nid = %d\nzone = %q\naddress = %q\n", i+1, v.Zone, address)
 	}
 	if voter > 0 {
-		fmt.Fprintf(&f, "[voter]\nid = %d\nstore = %q\n", voter, filepath.Join(s.plan.Dir, plan.Name+".db"))
+		fmt.Fprintf(&fleet, "[voter]\nid = %d\nstore = %q\n", voter, filepath.Join(s.plan.Dir, process.Name+".db"))
 	}
 	if s.plan.Alone {
-		f.Reset()
-		f.WriteString("enabled = false\n")
+		fleet.Reset()
+		fleet.WriteString("enabled = false\n")
 	}
-	listen, discovery := s.addresses[plan.Name], "127.0.0.1:9"
+	listen, discovery := s.addresses[process.Name], "127.0.0.1:9"
 	if voter == 0 {
-		list, err := s.startDiscovery(plan)
+		address, err := s.startDiscovery(process)
 		if err != nil {
 			return err
 		}
-		discovery = list
+		discovery = address
 	}
-	node, err := s.config(plan, listen, discovery)
+	node, err := s.config(process, listen, discovery)
 	if err != nil {
 		return err
 	}
-	path := func(kind string) string { return filepath.Join(s.plan.Dir, plan.Name+"."+kind) }
-	plan.env = append(append([]string{}, s.plan.Env...), "BALANCER_CONFIG="+path("json"), "OSPREYBEND_FLEET="+path("toml"),
-		"OSPREYBEND_WITHOUT="+s.plan.Without, "TMPDIR="+s.plan.Dir, "BALANCER_ADMIN="+s.admins[plan.Name])
-	return errors.Join(os.WriteFile(path("json"), node, 0o600), os.WriteFile(path("toml"), []byte(f.String()), 0o600))
+	path := func(kind string) string { return filepath.Join(s.plan.Dir, process.Name+"."+kind) }
+	process.env = append(append([]string{}, s.plan.Env...), "BALANCER_CONFIG="+path("json"), "OSPREYBEND_FLEET="+path("toml"),
+		"OSPREYBEND_WITHOUT="+s.plan.Without, "TMPDIR="+s.plan.Dir, "BALANCER_ADMIN="+s.admins[process.Name])
+	return errors.Join(os.WriteFile(path("json"), node, 0o600), os.WriteFile(path("toml"), []byte(fleet.String()), 0o600))
 }
 
-// startDiscovery starts a node's own discovery, which lists each worker at a proxy of the node.
+// startDiscovery starts a discovery service for one node, which lists each worker at a proxy of that node. It returns the
+// address of the service.
 func (s *trial) startDiscovery(process *Process) (string, error) {
 	d, err := fakeplatform.NewDiscovery()
 	if err != nil {
@@ -203,23 +205,24 @@
 	var all []fakeplatform.Endpoint
 	for _, z := range zones {
 		for _, w := range s.workers[z] {
-			at, err := s.newProxy(process.Name, w.Name, w.Address())
+			address, err := s.newProxy(process.Name, w.Name, w.Address())
 			if err != nil {
 				return "", err
 			}
-			all = append(all, fakeplatform.Endpoint{Name: w.Name, Address: at, Zone: z, Kind: "demo", State: "Ready", Weight: 1})
+			all = append(all, fakeplatform.Endpoint{Name: w.Name, Address: address, Zone: z, Kind: "demo", State: "Ready", Weight: 1})
 		}
 	}
 	d.Set(all)
 	return d.Address(), nil
 }
 
+// config returns the configuration file of a process.
 func (s *trial) config(p *Process, listen, discovery string) ([]byte, error) {
 	return fakeplatform.Node{Name: p.Name, Listen: listen, Discovery: discovery, Seed: strconv.FormatUint(s.rng.Uint64(), 16), MemoryMB: 256,
 		Nodes: nodesPerZone * len(zones), Zone: slices.Index(zones, p.Zone), Zones: zones, Kind: "demo", Classes: classes}.Config()
 }
 
-// start starts all processes, the voters first; and waits until each is ready.
+// start starts all processes, the voters first, and waits until each is ready.
 func (s *trial) start() error {
 	for _, group := range [][]*Process{s.voters, s.nodes} {
 		errs := make([]error, len(group))
@@ -235,7 +238,7 @@
 	return nil
 }
 
-// stop ends all processes, proxies and fakes.
+// stop stops all processes, proxies, fake workers and discovery services.
 func (s *trial) stop() {
 	for _, p := range append(append([]*Process{}, s.nodes...), s.voters...) {
 		_ = p.Kill()
@@ -254,17 +257,18 @@
 	s.client.Close()
 }
 
+// elapsed returns the time since the start of the trial.
 func (s *trial) elapsed() time.Duration { return time.Since(s.startedAt) }
 
-// note adds an event to the story.
+// note adds an event with the present time to the report.
 func (s *trial) note(format string, a ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.events = append(s.events, fmt.Sprintf("%.2f s: ", s.elapsed().Seconds())+fmt.Sprintf(format, a...))
 }
 
-// load has clients send to every node, whatever the outcome, until the span or the stop, and returns when all their
-// requests have ended.
+// load sends open-loop load to every node until the span is over or stop is closed, and returns once all requests have
+// ended.
 func (s *trial) load(ctx context.Context, span time.Duration, stop <-chan struct{}) {
 	var all sync.WaitGroup
 	for i, n := range s.nodes {
@@ -299,27 +303,27 @@
 	return slices.Clone(s.requests)
 }
 
-// setLinks sets all links whose ends match, in both directions.
-func (s *trial) setLinks(l Link, back Link, match func(from, to string) bool) {
+// setLinks sets the links of all proxies whose ends match: out from their From to their To, and back.
+func (s *trial) setLinks(out, back Link, match func(from, to string) bool) {
 	for _, p := range s.proxies {
 		if match(p.From, p.To) {
-			p.Set(l, back)
+			p.Set(out, back)
 		}
 	}
 }
 
-// value returns the value of all requests in a time and that of those served within their latency target, but for
-// the clients of processes that were faulty themselves.
+// value returns the total value of the requests sent from one time to another, and that of those which were served
+// within their latency target. Requests to the spared processes, at which a fault was injected, do not count.
 func (s *trial) value(from, to time.Duration, spared map[string]bool) (asked, served float64) {
-	by := map[string]fakeplatform.Class{}
+	byName := map[string]fakeplatform.Class{}
 	for _, c := range classes {
-		by[c.Name] = c
+		byName[c.Name] = c
 	}
 	for _, r := range s.requests {
 		if r.at < from || r.at >= to || spared[r.node] {
 			continue
 		}
-		c := by[r.class]
+		c := byName[r.class]
 		asked += c.Value
 		if r.status == 200 && r.took <= c.Target {
 			served += c.Value
--- a/internal/testkit/endtoend/zone_failure.go
+++ b/internal/testkit/endtoend/zone_failure.go
@@ -12,24 +12,24 @@
 )
 
 const (
-	// All processes in contact evacuate a zone within this time of the command.
+	// Every process that is in contact with the leader evacuates a zone within this time of the command.
 	maxEvacuationTime = time.Second
 	pollInterval      = 50 * time.Millisecond
-	pollSlack         = 300 * time.Millisecond // by which a poll may show a command late, on a busy machine
-	maxUnledFraction  = 0.01                   // part of all requests that a failed zone may get in the second half of its failure without an evacuation
-	maxReturnTime     = 20 * time.Second       // of the fault's end the zone takes its full share again
+	pollSlack         = 300 * time.Millisecond // by which a poll on a busy machine may show a command late
+	maxUnledFraction  = 0.01                   // fraction of all requests that may be sent to a failed zone without an evacuation in the second half of its failure
+	maxReturnTime     = 20 * time.Second       // from the end of the fault until the zone takes its full share again
 )
 
 // observation is the state of one voter at one poll.
 type observation struct {
 	at    time.Duration
 	voter string
-	runs  int
+	runs  int // how often the voter had been started
 	table commands.Table
 	leads bool
 }
 
-// Zone runs a trial in which a zone fails and returns, with a second fault at a process or a link meanwhile.
+// Zone runs a trial in which a zone fails and recovers, with a second fault at a process or a link meanwhile.
 func Zone(ctx context.Context, plan Plan) (Report, error) {
 	r := Report{Kind: "zone", Seed: plan.Seed, Figures: map[string]float64{}}
 	s, err := newTrial(plan)
@@ -51,39 +51,39 @@
 	go func() { polled <- s.poll(polls) }()
 	done := make(chan struct{})
 	go func() { s.load(ctx, span, nil); close(done) }()
-	bad, spared := s.injectFaults(ctx)
+	failed, spared := s.injectFaults(ctx)
 	<-done
 	stop()
-	looks := <-polled
-	s.audit(&r, looks, bad, spared)
+	observations := <-polled
+	s.audit(&r, observations, failed, spared)
 	r.Events = s.events
 	return r, nil
 }
 
 // zoneFaults are the faults of a trial.
 type zoneFaults struct {
-	zone   string   // that fails
-	how    int      // one of the ways in which a zone fails
-	second int      // kind of the second fault
-	node   *Process // that the second fault may concern
+	zone   string   // the zone that fails
+	how    int      // how the zone fails: partitionZone and so on
+	second int      // kind of the second fault: freezeNode and so on; 0: none
+	node   *Process // at which the second fault is injected, if it is a fault of a node
 }
 
-// Ways in which a zone fails, as they are drawn.
+// Ways in which a zone fails. They are drawn by number, so their order is part of what a seed stands for.
 const (
 	partitionZone = iota
 	resetZone
 	loseZoneResponses
-	zoneFailures // how many ways there are
+	zoneFailures // number of ways
 )
 
-// drawFaults draws the faults. They depend on the seed alone: with voters or without, they are the same.
+// drawFaults draws the faults. They depend on the seed alone, so that trials with and without voters have the same ones.
 func (s *trial) drawFaults() zoneFaults {
 	rng := rand.New(rand.NewPCG(s.plan.Seed, 12))
 	return zoneFaults{zone: zones[rng.IntN(len(zones))], how: rng.IntN(zoneFailures), second: rng.IntN(secondFaults),
 		node: s.nodes[rng.IntN(len(s.nodes))]}
 }
 
-// countRequests has the proxies to a zone's workers record what they relay.
+// countRequests has the proxies to the workers of a zone record the requests.
 func (s *trial) countRequests(zone string) {
 	for _, p := range s.proxies {
 		if toWorkersOf(zone)(p.From, p.To) {
@@ -92,39 +92,39 @@
 	}
 }
 
-// toWorkersOf matches the links to a zone's workers.
+// toWorkersOf returns a filter for the links to the workers of a zone.
 func toWorkersOf(zone string) func(from, to string) bool {
 	return func(_, to string) bool { return strings.HasPrefix(to, "w-"+zone) }
 }
 
-// beginFaults has the zone fail, with the second fault beside it. end heals both. The spared processes are faulty
-// themselves, so their clients and sends do not count against the program.
+// beginFaults injects the zone failure and the second fault. end reverts both. The spared processes are those at which a
+// fault was injected: their clients and the requests that they send are left out of the checks.
 func (s *trial) beginFaults(faults zoneFaults) (spared map[string]bool, end func()) {
 	spared = map[string]bool{}
 	toWorkers := toWorkersOf(faults.zone)
 	switch faults.how {
 	case partitionZone:
-		s.note("zone %s: its prep workers are partitioned off, without a reset", faults.zone)
+		s.note("zone %s: partition: traffic to and from its prep workers is withheld, no connection is reset", faults.zone)
 		s.setLinks(Link{Delayed: true}, Link{Delayed: true}, toWorkers)
 	case resetZone:
-		s.note("zone %s: its prep workers reset all connections", faults.zone)
+		s.note("zone %s: all connections to its prep workers are reset", faults.zone)
 		s.setLinks(Link{Cut: true}, Link{Cut: true}, toWorkers)
 	default:
-		s.note("zone %s: the responses of its prep workers do not arrive", faults.zone)
+		s.note("zone %s: the responses of its prep workers are withheld", faults.zone)
 		s.setLinks(Link{}, Link{Delayed: true}, toWorkers)
 	}
 	undo := s.injectSecondFault(faults.second, faults.node, faults.zone, spared)
 	return spared, func() {
-		s.note("zone %s: its links are healed", faults.zone)
+		s.note("zone %s: the links to its prep workers work again", faults.zone)
 		s.setLinks(Link{}, Link{}, toWorkers)
 		undo()
 	}
 }
 
-// injectFaults plays the faults at the plan's times. It returns the zone that fails, and the spared processes.
-func (s *trial) injectFaults(ctx context.Context) (bad string, spared map[string]bool) {
+// injectFaults injects and reverts the faults at the times of the plan. It returns the failed zone and the spared processes.
+func (s *trial) injectFaults(ctx context.Context) (failed string, spared map[string]bool) {
 	faults := s.drawFaults()
-	at := func(d time.Duration) bool {
+	waitFor := func(d time.Duration) bool {
 		select {
 		case <-ctx.Done():
 			return false
@@ -133,63 +133,63 @@
 		}
 	}
 	s.countRequests(faults.zone)
-	if !at(s.plan.QuietBefore) {
+	if !waitFor(s.plan.QuietBefore) {
 		return faults.zone, nil
 	}
 	spared, end := s.beginFaults(faults)
-	if at(s.plan.QuietBefore + s.plan.Faulty) {
+	if waitFor(s.plan.QuietBefore + s.plan.Faulty) {
 		end()
 	}
 	return faults.zone, spared
 }
 
-// Kinds of the second fault, as they are drawn. 0 is none.
+// Kinds of the second fault. They are drawn by number, so their order is part of what a seed stands for; 0 is none.
 const (
 	freezeNode = 1 + iota
 	killNode
 	killLeader
 	partitionVoter
 	partitionHealthyZone
-	secondFaults // how many kinds there are, none included
+	secondFaults // number of kinds, with none
 )
 
-// injectSecondFault injects a fault at a process or a link while the zone fails. undo ends it.
-func (s *trial) injectSecondFault(kind int, node *Process, bad string, spared map[string]bool) (undo func()) {
+// injectSecondFault injects a fault at a process or a link during the zone failure. undo reverts it.
+func (s *trial) injectSecondFault(kind int, node *Process, failed string, spared map[string]bool) (undo func()) {
 	switch kind {
 	case freezeNode:
 		spared[node.Name] = true
 		s.note("%s is frozen", node.Name)
 		_ = node.Freeze()
 		return func() {
-			s.note("%s continues", node.Name)
+			s.note("%s is thawed", node.Name)
 			_ = node.Thaw()
 		}
 	case killNode:
 		spared[node.Name] = true
 		return s.kill(node, "%s is killed")
 	case partitionHealthyZone:
-		return s.partitionHealthyZone(node, bad)
+		return s.partitionHealthyZone(node, failed)
 	}
 	if len(s.voters) == 0 {
 		return func() {}
 	}
 	switch kind {
 	case killLeader:
-		return s.kill(s.leader(), "%s, which leads, is killed")
+		return s.kill(s.leader(), "%s, the leader, is killed")
 	case partitionVoter:
-		return s.partitionVoter(bad)
+		return s.partitionVoter(failed)
 	}
 	return func() {}
 }
 
-// kill kills a process; undo restarts it.
+// kill kills a process and notes that in the given format. undo restarts the process.
 func (s *trial) kill(process *Process, note string) (undo func()) {
 	s.note(note, process.Name)
 	_ = process.Kill()
 	return func() { s.restart(process) }
 }
 
-// leader returns the voter that leads, or the first one if none reports that it does.
+// leader returns the voter that reports itself as the leader, or the first voter if none does.
 func (s *trial) leader() *Process {
 	leader := s.voters[0]
 	for _, voter := range s.voters {
@@ -200,24 +200,25 @@
 	return leader
 }
 
-// partitionHealthyZone lets one node alone not reach the workers of a zone that does not fail.
-func (s *trial) partitionHealthyZone(node *Process, bad string) (undo func()) {
+// partitionHealthyZone partitions one node from the workers of a healthy zone. undo reverts that.
+func (s *trial) partitionHealthyZone(node *Process, failed string) (undo func()) {
 	other := zones[0]
-	if other == bad {
+	if other == failed {
 		other = zones[1]
 	}
-	s.note("%s alone does not reach the prep workers of zone %s, which is healthy", node.Name, other)
+	s.note("%s, and no other node, is partitioned from the prep workers of the healthy zone %s", node.Name, other)
 	match := func(from, to string) bool { return from == node.Name && strings.HasPrefix(to, "w-"+other) }
 	s.setLinks(Link{Delayed: true}, Link{Delayed: true}, match)
 	return func() { s.setLinks(Link{}, Link{}, match) }
 }
 
-// partitionVoter lets the failing zone's voter receive the other voters' messages late, and them none of its own.
-func (s *trial) partitionVoter(bad string) (undo func()) {
-	s.note("voter of zone %s receives from the others late, and they do not receive from it", bad)
+// partitionVoter withholds the messages of the failed zone's voter from the other voters and delays theirs to it. undo
+// reverts that.
+func (s *trial) partitionVoter(failed string) (undo func()) {
+	s.note("voter of zone %s: its messages to the other voters are withheld, and theirs to it are delayed", failed)
 	own := ""
 	for _, voter := range s.voters {
-		if voter.Zone == bad {
+		if voter.Zone == failed {
 			own = voter.Name
 		}
 	}
@@ -231,20 +232,20 @@
 	}
 }
 
-// restart starts a process that was killed.
+// restart starts a killed process again.
 func (s *trial) restart(p *Process) {
 	if err := p.Start(); err != nil {
-		s.note("%s does not start: %v", p.Name, err)
+		s.note("%s does not start again: %v", p.Name, err)
 		return
 	}
-	s.note("%s is up again", p.Name)
+	s.note("%s is ready again", p.Name)
 }
 
-// poll polls the voters until ctx ends.
+// poll polls the status of the running voters until the context ends.
 func (s *trial) poll(ctx context.Context) (out []observation) {
 	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
-	said := map[string]string{}
+	noted := map[string]string{}
 	for {
 		select {
 		case <-ctx.Done():
@@ -255,17 +256,17 @@
 			if runs, _ := v.State(); !runs {
 				continue
 			}
-			n := v.starts
+			starts := v.starts
 			if st, err := s.client.Status(ctx, s.addresses[v.Name]); err == nil {
-				out = append(out, observation{s.elapsed(), v.Name, n, st.Table, st.Leader == st.Voter})
-				s.noteVerdicts(said, v.Name, st)
+				out = append(out, observation{s.elapsed(), v.Name, starts, st.Table, st.Leader == st.Voter})
+				s.noteVerdicts(noted, v.Name, st)
 			}
 		}
 	}
 }
 
-// noteVerdicts notes the leader's verdicts on the zones, and its commands, as they change.
-func (s *trial) noteVerdicts(said map[string]string, voter string, st transport.Status) {
+// noteVerdicts notes the leader's verdicts on the zones and its commands when they differ from the noted ones.
+func (s *trial) noteVerdicts(noted map[string]string, voter string, st transport.Status) {
 	if st.Leader != st.Voter {
 		return
 	}
@@ -273,29 +274,29 @@
 		verdict, _, _ := strings.Cut(st.Assessments[z], ",")
 		o := st.Table.Zone(z)
 		now := fmt.Sprintf("%s, ordered: %v, share %.3f", verdict, o.Phase, o.Share)
-		if now != said[z] {
-			said[z] = now
+		if now != noted[z] {
+			noted[z] = now
 			s.note("%s on zone %s: %s (%s)", voter, z, now, st.Assessments[z])
 		}
 	}
 }
 
-// violationFunc records a violation.
+// violationFunc records a violation of an invariant.
 type violationFunc func(format string, values ...any)
 
-// violations returns the function that adds to the report's violations.
+// violations returns the function that adds a violation to the report.
 func (r *Report) violations() violationFunc {
 	return func(format string, values ...any) {
 		r.Violations = append(r.Violations, fmt.Sprintf(format, values...))
 	}
 }
 
-// auditRequests checks that each request was answered, that no booking was begun twice, and that no process ended by
-// itself.
+// auditRequests checks that each request got a response, that no booking was started twice, and that no process ended
+// unexpectedly.
 func (s *trial) auditRequests(spared map[string]bool, violate violationFunc) {
 	for _, q := range s.requests {
 		if q.status == 0 && !spared[q.node] {
-			violate("request %s to %s has no answer", q.id, q.node)
+			violate("request %s to %s got no response", q.id, q.node)
 		}
 	}
 	begun := map[string]int{}
@@ -308,35 +309,35 @@
 	}
 	for _, q := range s.requests {
 		if q.class == bookings && begun[q.id] > 1 {
-			violate("booking %s was begun %d times", q.id, begun[q.id])
+			violate("booking %s was started %d times", q.id, begun[q.id])
 		}
 	}
 	for _, p := range append(append([]*Process{}, s.nodes...), s.voters...) {
 		if runs, should := p.State(); should && !runs {
-			violate("%s ended unexpectedly: %s", p.Name, p.logTail())
+			violate("%s ended unexpectedly; its log ends with %q", p.Name, p.logTail())
 		}
 	}
 }
 
-// auditEpochs checks that no voter went back to an earlier table while it ran.
-func auditEpochs(looks []observation, violate violationFunc) {
+// auditEpochs checks that no voter returned to an earlier table between two starts.
+func auditEpochs(observations []observation, violate violationFunc) {
 	epochs := map[string]uint64{}
-	for _, l := range looks {
-		run := fmt.Sprint(l.voter, " in its run ", l.runs)
-		if l.table.Epoch < epochs[run] {
-			violate("%s went back from epoch %d to %d", run, epochs[run], l.table.Epoch)
+	for _, o := range observations {
+		run := fmt.Sprintf("%s after start %d", o.voter, o.runs)
+		if o.table.Epoch < epochs[run] {
+			violate("%s: the table went back from epoch %d to %d", run, epochs[run], o.table.Epoch)
 		}
-		epochs[run] = l.table.Epoch
+		epochs[run] = o.table.Epoch
 	}
 }
 
 // audit checks the invariants of the trial and adds the figures.
-func (s *trial) audit(report *Report, looks []observation, bad string, spared map[string]bool) {
+func (s *trial) audit(report *Report, observations []observation, failed string, spared map[string]bool) {
 	violate := report.violations()
 	s.auditRequests(spared, violate)
-	auditEpochs(looks, violate)
+	auditEpochs(observations, violate)
 	if len(s.voters) > 0 {
-		s.auditEvacuation(report, looks, bad, spared, violate)
+		s.auditEvacuation(report, observations, failed, spared, violate)
 	}
 	end := s.plan.QuietBefore + s.plan.Faulty + 8*time.Second
 	asked, served := s.value(s.plan.QuietBefore, end, spared)
@@ -346,8 +347,8 @@
 	report.Figures["requests"] = float64(len(s.requests))
 }
 
-// countSends counts what was sent to a zone's workers in a time, but for what came from processes
-// that were faulty themselves.
+// countSends returns how many fragments were sent to the workers of a zone between two times, without those of the
+// spared processes.
 func (s *trial) countSends(zone string, spared map[string]bool, from, to time.Duration) (n int) {
 	for _, p := range s.proxies {
 		if !strings.HasPrefix(p.To, "w-"+zone) || spared[p.From] {
@@ -362,30 +363,32 @@
 	return n
 }
 
-func (s *trial) auditEvacuation(report *Report, looks []observation, bad string, spared map[string]bool, violate violationFunc) {
+// auditEvacuation checks that the failed zone alone was evacuated, that nothing was sent to it meanwhile, and that it took
+// its full share again after the fault.
+func (s *trial) auditEvacuation(report *Report, observations []observation, failed string, spared map[string]bool, violate violationFunc) {
 	var evacuatedAt, probedAt, returnedAt time.Duration
-	for _, l := range looks {
+	for _, o := range observations {
 		for _, z := range zones {
-			if o := l.table.Zone(z); z != bad && o.Phase != commands.PhaseActive {
-				violate("zone %s, which is healthy, is %v: %s", z, o.Phase, o.Reason)
+			if row := o.table.Zone(z); z != failed && row.Phase != commands.PhaseActive {
+				violate("the healthy zone %s is in phase %v at %v, with the reason %q", z, row.Phase, o.at, row.Reason)
 				return
 			}
 		}
-		z := l.table.Zone(bad)
+		z := o.table.Zone(failed)
 		switch {
 		case evacuatedAt == 0 && z.Phase == commands.PhaseEvacuated:
-			evacuatedAt = l.at
-		case evacuatedAt > 0 && probedAt == 0 && z.Phase != commands.PhaseEvacuated && l.leads:
-			probedAt = l.at
-		case probedAt > 0 && l.at > s.plan.QuietBefore+s.plan.Faulty && returnedAt == 0 && z.Phase == commands.PhaseActive && len(z.UnreachableFrom) == 0 && l.leads:
-			returnedAt = l.at
+			evacuatedAt = o.at
+		case evacuatedAt > 0 && probedAt == 0 && z.Phase != commands.PhaseEvacuated && o.leads:
+			probedAt = o.at
+		case probedAt > 0 && o.at > s.plan.QuietBefore+s.plan.Faulty && returnedAt == 0 && z.Phase == commands.PhaseActive && len(z.UnreachableFrom) == 0 && o.leads:
+			returnedAt = o.at
 		}
 	}
 	if evacuatedAt == 0 {
-		// Where the nodes themselves soon send next to nothing there, too little is seen to leave it.
-		late := s.countSends(bad, spared, s.plan.QuietBefore+s.plan.Faulty/2, s.plan.QuietBefore+s.plan.Faulty)
+		// If the nodes soon send almost nothing there of their own accord, the leader sees too few requests to evacuate the zone.
+		late := s.countSends(failed, spared, s.plan.QuietBefore+s.plan.Faulty/2, s.plan.QuietBefore+s.plan.Faulty)
 		if report.Figures["sends_unled"] = float64(late); float64(late) > maxUnledFraction*float64(len(s.requests)) {
-			violate("zone %s was never evacuated, and %d sends went there in the second half of its failure", bad, late)
+			violate("zone %s was never evacuated, and %d fragments were sent there in the second half of its failure", failed, late)
 		}
 		return
 	}
@@ -393,16 +396,16 @@
 		probedAt = s.elapsed()
 	}
 	report.Figures["left_after"] = (evacuatedAt - s.plan.QuietBefore).Seconds()
-	// The poll that shows the end of the evacuation comes after it.
-	sends := s.countSends(bad, spared, evacuatedAt+maxEvacuationTime, probedAt-pollSlack)
+	// The end of the evacuation precedes the poll that shows it.
+	sends := s.countSends(failed, spared, evacuatedAt+maxEvacuationTime, probedAt-pollSlack)
 	report.Figures["sends_to_left"] = float64(sends)
 	if sends > 0 {
-		violate("%d sends to zone %s, which was evacuated", sends, bad)
+		violate("%d fragments were sent to zone %s while it was evacuated", sends, failed)
 	}
 	healedAt := s.plan.QuietBefore + s.plan.Faulty
 	if returnedAt > 0 {
 		report.Figures["back_after"] = (returnedAt - healedAt).Seconds()
 	} else if s.plan.After >= maxReturnTime {
-		violate("zone %s does not take its full share %v after its links were healed", bad, s.plan.After)
+		violate("zone %s does not take its full share again within %v of the end of the fault", failed, s.plan.After)
 	}
 }
