--- a/internal/testkit/fakemodelworker/register.go
+++ b/internal/testkit/fakemodelworker/register.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	heartbeatTimeout = time.Second            // then the next control address is called
-	retryPause       = 200 * time.Millisecond // after a call that failed
+	heartbeatTimeout = time.Second            // of a call; after a failure the next control address is called
+	retryPause       = 200 * time.Millisecond // after a failed call
 )
 
 // heartbeatBody is the body of a heartbeat.
@@ -35,35 +35,35 @@
 	Adapters   []string `json:"adapters"`
 }
 
-// Register sends a worker's heartbeats until the context ends, then announces the end. Nothing listens at the
-// worker's address. report is called with the outcome of each heartbeat.
-func Register(ctx context.Context, options Options, heard func(err error)) {
-	(&Worker{options: options}).register(ctx, heard)
+// Register sends the heartbeats of a worker until the context ends, and then deregisters it. Nothing listens at the
+// worker's address. onHeartbeat is called with the outcome of each heartbeat.
+func Register(ctx context.Context, options Options, onHeartbeat func(err error)) {
+	(&Worker{options: options}).register(ctx, onHeartbeat)
 }
 
-// register sends heartbeats until the context ends, then announces the end.
-func (w *Worker) register(ctx context.Context, heard func(err error)) {
-	caller, err := client.NewClient(client.WithDialTimeout(heartbeatTimeout))
+// register sends heartbeats until the context ends, and then deregisters the worker.
+func (w *Worker) register(ctx context.Context, onHeartbeat func(err error)) {
+	httpClient, err := client.NewClient(client.WithDialTimeout(heartbeatTimeout))
 	if err != nil {
 		return
 	}
-	at := 0
+	current := 0 // index of the control address that is called
 	for sequence := 1; ctx.Err() == nil; sequence++ {
 		wait := w.options.Heartbeat
-		err := w.call(ctx, caller, w.options.Control[at], "/-/Instances.Heartbeat/", w.heartbeat(sequence))
-		heard(err)
+		err := w.call(ctx, httpClient, w.options.Control[current], "/-/Instances.Heartbeat/", w.heartbeat(sequence))
+		onHeartbeat(err)
 		if err != nil {
-			at = (at + 1) % len(w.options.Control)
+			current = (current + 1) % len(w.options.Control)
 			wait = retryPause
 		}
 		pause(ctx, wait)
 	}
-	leaving, cancel := context.WithTimeout(context.Background(), stopGrace)
+	deregisterCtx, cancel := context.WithTimeout(context.Background(), stopGrace)
 	defer cancel()
-	_ = w.call(leaving, caller, w.options.Control[at], "/-/Instances.Deregister/", nil)
+	_ = w.call(deregisterCtx, httpClient, w.options.Control[current], "/-/Instances.Deregister/", nil)
 }
 
-// heartbeat returns the body of the heartbeat with a sequence number.
+// heartbeat returns the encoded body of the heartbeat with the given sequence number.
 func (w *Worker) heartbeat(sequence int) []byte {
 	body := heartbeatBody{Service: w.options.Service, Address: w.options.Address, Zone: w.options.Zone, Generation: "v1",
 		Slots: w.options.Slots, State: "ready", Stage: w.options.Stage, Sequence: sequence}
@@ -74,8 +74,8 @@
 	return encoded
 }
 
-// call sends one call of the control API; any answer but a 2xx is an error.
-func (w *Worker) call(ctx context.Context, caller *client.Client, control, path string, body []byte) error {
+// call makes one call of the control plane's API. Any status other than 2xx is an error.
+func (w *Worker) call(ctx context.Context, httpClient *client.Client, control, path string, body []byte) error {
 	request, response := protocol.AcquireRequest(), protocol.AcquireResponse()
 	defer protocol.ReleaseRequest(request)
 	defer protocol.ReleaseResponse(response)
@@ -83,7 +83,7 @@
 	request.SetRequestURI("http://" + control + path + w.options.ID)
 	request.Header.SetContentTypeBytes([]byte("application/json"))
 	request.SetBody(body)
-	if err := caller.DoTimeout(ctx, request, response, heartbeatTimeout); err != nil {
+	if err := httpClient.DoTimeout(ctx, request, response, heartbeatTimeout); err != nil {
 		return err
 	}
 	if response.StatusCode()/100 != 2 {
@@ -92,7 +92,9 @@
 	return nil
 }
 
-// statusError is the status of a call that was rejected.
+// statusError is the status of a rejected call.
 type statusError int
 
-func (e statusError) Error() string { return "control plane: status " + strconv.Itoa(int(e)) }
+func (e statusError) Error() string {
+	return "control plane rejected the call: status " + strconv.Itoa(int(e))
+}
--- a/internal/testkit/fakemodelworker/worker.go
+++ b/internal/testkit/fakemodelworker/worker.go
@@ -1,5 +1,5 @@
-// Package fakemodelworker is a fake model worker: it speaks the workers' side of the protocol
-// (heartbeats, prefill, hand-over of prompts, event streams, commands) with simple timing and no model.
+// Package fakemodelworker is a fake model worker for tests and demonstrations: it implements the workers' side of the
+// protocol (heartbeats, prefill, handles, event streams) with simple timing and without a model.
 package fakemodelworker
 
 import (
@@ -32,7 +32,7 @@
 	stagePrefill    = "prefill"
 	stageDecode     = "decode"
 	handlePath      = "/-/kv-handle/"
-	defaultOutput   = 8 // tokens, where the request names none
+	defaultOutput   = 8 // tokens, if the request does not say how many
 	handleDigits    = 12
 	stopGrace       = 500 * time.Millisecond
 	statusOK        = 200
@@ -46,21 +46,21 @@
 	ID          string
 	Service     string
 	Zone        string
-	Stage       string // "prefill", "decode", or empty for a plain service
-	Address     string // "ip:port" to listen on
-	Slots       int
-	Control     []string // control addresses of the fleet, tried in turn
-	Heartbeat   time.Duration
-	PrefillRate float64       // prompt tokens read in a millisecond
-	TokenTime   time.Duration // time between two tokens
-	PlainTime   time.Duration // time of a plain request
+	Stage       string        // "prefill", "decode", or empty for a plain service
+	Address     string        // "ip:port" to listen on
+	Slots       int           // requests at once; more are rejected
+	Control     []string      // control addresses of the fleet, tried in turn
+	Heartbeat   time.Duration // interval of the heartbeats
+	PrefillRate float64       // prompt tokens a millisecond; 0: prefills take no time
+	TokenTime   time.Duration // interval between two tokens
+	PlainTime   time.Duration // how long a request of a plain service takes
 	Handles     *Handles      // shared by the prefill and decode workers of a fleet
 }
 
-// Counts count what a worker has done.
+// Counts are the counters of a worker.
 type Counts struct{ Prefills, Runs, Rejected, Misrouted, Deleted int64 }
 
-// Worker is one incarnation of a fake model worker.
+// Worker is a running fake model worker.
 type Worker struct {
 	options   Options
 	server    *httpserver.Server
@@ -72,14 +72,14 @@
 	deleted   atomic.Int64
 }
 
-// Handles are the prefill handles of one process's workers that no decode worker has used yet.
+// Handles holds the prefill handles of a process's workers that were neither used nor deleted.
 type Handles struct {
 	mutex sync.Mutex
 	open  map[string]bool // by "ip:port/handle"
 	next  int
 }
 
-// create creates a handle for the worker at an address.
+// create creates a handle of the worker at an address.
 func (h *Handles) create(address string) string {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -92,7 +92,7 @@
 	return handle
 }
 
-// take removes a handle and reports whether it was there.
+// take removes a handle and reports whether it existed.
 func (h *Handles) take(handle string) bool {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -108,7 +108,7 @@
 	return len(h.open)
 }
 
-// Start listens and begins to send heartbeats. It ends with the context.
+// Start starts a worker, which serves and sends heartbeats until the context ends.
 func Start(ctx context.Context, options Options) (*Worker, error) {
 	listener, err := net.Listen("tcp4", options.Address)
 	if err != nil {
@@ -131,42 +131,42 @@
 		Misrouted: w.misrouted.Load(), Deleted: w.deleted.Load()}
 }
 
-// serve answers one request.
-func (w *Worker) serve(answer *httpserver.ResponseWriter, request *httpserver.Request) {
+// serve handles one request.
+func (w *Worker) serve(response *httpserver.ResponseWriter, request *httpserver.Request) {
 	if strings.HasPrefix(request.Path, handlePath) {
-		w.deleteHandle(answer, strings.TrimPrefix(request.Path, handlePath))
+		w.deleteHandle(response, strings.TrimPrefix(request.Path, handlePath))
 		return
 	}
 	if target := request.Header.Get(fieldTarget); target != "" && target != w.options.ID {
 		w.misrouted.Add(1)
-		w.reject(answer, request, statusMisrouted)
+		w.reject(response, request, statusMisrouted)
 		return
 	}
 	if w.running.Add(1) > int64(w.options.Slots) {
 		w.running.Add(-1)
 		w.rejected.Add(1)
-		w.reject(answer, request, statusFull)
+		w.reject(response, request, statusFull)
 		return
 	}
 	defer w.running.Add(-1)
 	switch {
 	case w.options.Stage == "":
-		w.plain(answer, request)
+		w.plain(response, request)
 	case request.Header.Get(fieldStage) == stagePrefill:
-		w.prefill(answer, request)
+		w.prefill(response, request)
 	default:
-		w.run(answer, request)
+		w.run(response, request)
 	}
 }
 
-// reject answers that the request was not executed.
-func (w *Worker) reject(answer *httpserver.ResponseWriter, request *httpserver.Request, status int) {
+// reject responds with the field that marks the request as not executed.
+func (w *Worker) reject(response *httpserver.ResponseWriter, request *httpserver.Request, status int) {
 	fields := w.fields(request)
 	fields = append(fields, http1.HeaderField{Name: fieldNotRun, Value: "1"})
-	_ = answer.WriteResponse(status, fields, nil)
+	_ = response.WriteResponse(status, fields, nil)
 }
 
-// fields returns the header fields of every response.
+// fields returns the header fields that every response has.
 func (w *Worker) fields(request *httpserver.Request) http1.Header {
 	fields := make(http1.Header, 0, 8)
 	fields = append(fields, http1.HeaderField{Name: fieldRequestID, Value: request.Header.Get(fieldRequestID)})
@@ -175,19 +175,19 @@
 	return fields
 }
 
-// plain answers a request of a service without stages.
-func (w *Worker) plain(answer *httpserver.ResponseWriter, request *httpserver.Request) {
+// plain handles a request of a service without stages.
+func (w *Worker) plain(response *httpserver.ResponseWriter, request *httpserver.Request) {
 	if !pause(request.Context, w.options.PlainTime) {
 		return
 	}
 	w.runs.Add(1)
-	_ = answer.WriteResponse(statusOK, w.signed(request), []byte("done by "+w.options.ID+"\n"))
+	_ = response.WriteResponse(statusOK, w.signed(request), []byte("done by "+w.options.ID+"\n"))
 }
 
-// prefill answers a prompt with a handle.
-func (w *Worker) prefill(answer *httpserver.ResponseWriter, request *httpserver.Request) {
+// prefill responds to a prompt with a handle.
+func (w *Worker) prefill(response *httpserver.ResponseWriter, request *httpserver.Request) {
 	in, _ := tokens(request)
-	if !pause(request.Context, w.readTime(in, 1)) {
+	if !pause(request.Context, w.prefillTime(in, 1)) {
 		return
 	}
 	w.prefills.Add(1)
@@ -195,30 +195,30 @@
 	fields := w.fields(request)
 	fields = append(fields, http1.HeaderField{Name: "Content-Type", Value: "application/json"})
 	body := fmt.Sprintf(`{"prefillHandle":%q,"tokens":%d,"generation":1}`, handle, in)
-	_ = answer.WriteResponse(statusOK, fields, []byte(body))
+	_ = response.WriteResponse(statusOK, fields, []byte(body))
 }
 
-// run streams tokens, from a handle or after a prefill of its own at half the rate.
-func (w *Worker) run(answer *httpserver.ResponseWriter, request *httpserver.Request) {
+// run streams tokens. Without a handle it first does the prefill itself, at half the rate.
+func (w *Worker) run(response *httpserver.ResponseWriter, request *httpserver.Request) {
 	in, out := tokens(request)
 	if w.options.Stage != stageDecode {
 		w.misrouted.Add(1)
-		w.reject(answer, request, statusMisrouted)
+		w.reject(response, request, statusMisrouted)
 		return
 	}
 	handle := request.Header.Get(fieldHandle)
 	if handle != "" && !w.options.Handles.take(handle) {
 		w.rejected.Add(1)
-		w.reject(answer, request, statusFull)
+		w.reject(response, request, statusFull)
 		return
 	}
-	if handle == "" && !pause(request.Context, w.readTime(in, 2)) {
+	if handle == "" && !pause(request.Context, w.prefillTime(in, 2)) {
 		return
 	}
 	w.runs.Add(1)
 	fields := w.signed(request)
 	fields = append(fields, http1.HeaderField{Name: "Content-Type", Value: "text/event-stream"})
-	if answer.WriteHeader(statusOK, fields) != nil {
+	if response.WriteHeader(statusOK, fields) != nil {
 		return
 	}
 	first, _ := strconv.Atoi(request.Header.Get(fieldLastEvent))
@@ -226,38 +226,39 @@
 		if !pause(request.Context, w.options.TokenTime) {
 			return
 		}
-		if answer.WriteChunk(fmt.Appendf(nil, "id: %d\ndata: token %d\n\n", id, id)) != nil {
+		if response.WriteChunk(fmt.Appendf(nil, "id: %d\ndata: token %d\n\n", id, id)) != nil {
 			return
 		}
 	}
-	_ = answer.Finish(nil)
+	_ = response.Finish(nil)
 }
 
+// signed returns the header fields of a response that has a signature.
 func (w *Worker) signed(request *httpserver.Request) http1.Header {
 	fields := w.fields(request)
 	fields = append(fields, http1.HeaderField{Name: fieldSignature, Value: "standin." + w.options.ID})
 	return fields
 }
 
-// deleteHandle answers a call that deletes a handle.
-func (w *Worker) deleteHandle(answer *httpserver.ResponseWriter, handle string) {
+// deleteHandle handles a call to delete a handle.
+func (w *Worker) deleteHandle(response *httpserver.ResponseWriter, handle string) {
 	if !w.options.Handles.take(w.options.Address + "/" + handle) {
-		_ = answer.WriteResponse(statusNotFound, nil, nil)
+		_ = response.WriteResponse(statusNotFound, nil, nil)
 		return
 	}
 	w.deleted.Add(1)
-	_ = answer.WriteResponse(statusOK, nil, nil)
+	_ = response.WriteResponse(statusOK, nil, nil)
 }
 
-// readTime returns how long the prefill of a prompt takes; slower divides the rate.
-func (w *Worker) readTime(tokens, slower int) time.Duration {
+// prefillTime returns how long the prefill of a prompt takes at the worker's rate divided by the slowdown.
+func (w *Worker) prefillTime(tokens, slowdown int) time.Duration {
 	if w.options.PrefillRate <= 0 {
 		return 0
 	}
-	return time.Duration(float64(tokens*slower) / w.options.PrefillRate * float64(time.Millisecond))
+	return time.Duration(float64(tokens*slowdown) / w.options.PrefillRate * float64(time.Millisecond))
 }
 
-// tokens reads how many tokens a request's prompt has and how many it asks for at most.
+// tokens returns how many tokens a request's prompt has and how many it asks for at most.
 func tokens(request *httpserver.Request) (in, out int) {
 	before, after, _ := strings.Cut(request.Header.Get(fieldTokens), ",")
 	in, _ = strconv.Atoi(strings.TrimSpace(before))
@@ -268,7 +269,7 @@
 	return in, out
 }
 
-// pause waits, and reports whether the context has not ended.
+// pause waits for the given duration. It returns false if the context ends before.
 func pause(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/testkit/fakeplatform/fleet.go
+++ b/internal/testkit/fakeplatform/fleet.go
@@ -4,6 +4,7 @@
 	"context"
 	"encoding/json"
 	"errors"
+	"fmt"
 	"net"
 	"net/http"
 	"strconv"
@@ -23,19 +24,19 @@
 	SinceMS float64 `json:"since_ms"`
 }
 
-// Discovery is the fake discovery service: an endpoint list that nodes read and watch.
+// Discovery is a fake discovery service. It has one endpoint list, which nodes read and watch by long polls.
 type Discovery struct {
 	mu          sync.Mutex
 	list        []Endpoint
-	index       uint64
-	changed     chan struct{}
+	index       uint64        // of the list; rises with each change
+	changed     chan struct{} // closed and replaced at each change
 	unavailable bool
 	rejected    int
 	server      *http.Server
 	address     string
 }
 
-// NewDiscovery starts discovery with an empty list.
+// NewDiscovery starts a discovery service with an empty list.
 func NewDiscovery() (*Discovery, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -50,7 +51,7 @@
 // Address returns the address of the service.
 func (d *Discovery) Address() string { return d.address }
 
-// Set replaces the list. Watches are notified.
+// Set replaces the list and notifies the watches.
 func (d *Discovery) Set(list []Endpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -60,7 +61,7 @@
 	d.changed = make(chan struct{})
 }
 
-// SetUnavailable has discovery answer nothing but 503 from now on, open watches included, or as usual again.
+// SetUnavailable makes the service respond to all calls, open watches included, with 503, or ends that.
 func (d *Discovery) SetUnavailable(unavailable bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -69,12 +70,13 @@
 	d.changed = make(chan struct{})
 }
 
-// Rejected returns how many calls were answered with 503.
+// Rejected returns the number of calls to which the response was 503.
 func (d *Discovery) Rejected() int { d.mu.Lock(); defer d.mu.Unlock(); return d.rejected }
 
 // Stop stops the service.
 func (d *Discovery) Stop() { _ = d.server.Close() }
 
+// serve sends the endpoint list. A watch of the present index waits for a change, up to the time that it allows.
 func (d *Discovery) serve(out http.ResponseWriter, in *http.Request) {
 	from, _ := strconv.ParseUint(in.FormValue("from"), 10, 64)
 	hold, _ := strconv.Atoi(in.FormValue("hold_ms"))
@@ -103,7 +105,7 @@
 	_ = json.NewEncoder(out).Encode(map[string]any{"index": d.index, "snapshot": true, "endpoints": d.list})
 }
 
-// Fleet is a number of fake workers and the discovery service that lists them.
+// Fleet is a set of fake workers and the discovery service that lists them.
 type Fleet struct {
 	Discovery *Discovery
 	Workers   []*Worker
@@ -112,7 +114,7 @@
 	draining  map[string]bool
 }
 
-// NewFleet starts n workers of some slots, named w-1 and so on, and discovery.
+// NewFleet starts a number of workers, named w-1 and so on, with the given slots and script, and a discovery service.
 func NewFleet(zone, kind string, workers, slots int, script Script) (*Fleet, error) {
 	d, err := NewDiscovery()
 	if err != nil {
@@ -131,7 +133,7 @@
 	return f, nil
 }
 
-// List updates the endpoint list from the state of the workers.
+// List publishes the endpoint list with the present state of the workers.
 func (f *Fleet) List() {
 	var list []Endpoint
 	for _, w := range f.Workers {
@@ -145,12 +147,12 @@
 }
 
 // Drain lists a worker as draining, or as ready again.
-func (f *Fleet) Drain(w *Worker, on bool) {
-	f.draining[w.Name] = on
+func (f *Fleet) Drain(w *Worker, draining bool) {
+	f.draining[w.Name] = draining
 	f.List()
 }
 
-// Begun returns how often each job was begun, over all workers.
+// Begun returns how often each job was started, over all workers.
 func (f *Fleet) Begun() map[string]int {
 	out := map[string]int{}
 	for _, w := range f.Workers {
@@ -161,7 +163,7 @@
 	return out
 }
 
-// Stop stops the workers and discovery.
+// Stop stops the workers and the discovery service.
 func (f *Fleet) Stop() {
 	for _, w := range f.Workers {
 		w.Vanish()
@@ -169,17 +171,17 @@
 	f.Discovery.Stop()
 }
 
-// errWaitTimeout is returned by WaitUntil when the condition was not met in time.
-var errWaitTimeout = errors.New("the condition was not met in time")
+// errWaitTimeout is wrapped by the error of WaitUntil.
+var errWaitTimeout = errors.New("the condition was not met before the timeout or the end of the context")
 
-// WaitUntil waits until f returns true, for at most the given time.
-func WaitUntil(ctx context.Context, within time.Duration, f func() bool) error {
-	ctx, cancel := context.WithTimeout(ctx, within)
+// WaitUntil polls until the condition is met. It returns an error if the timeout passes or the context ends before.
+func WaitUntil(ctx context.Context, timeout time.Duration, met func() bool) error {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	for !f() {
+	for !met() {
 		select {
 		case <-ctx.Done():
-			return errWaitTimeout
+			return fmt.Errorf("%w (timeout %v)", errWaitTimeout, timeout)
 		case <-time.After(time.Millisecond):
 		}
 	}
--- a/internal/testkit/fakeplatform/node.go
+++ b/internal/testkit/fakeplatform/node.go
@@ -8,31 +8,31 @@
 	"time"
 )
 
-// Class is a class of requests in a node's settings.
+// Class is a class of requests in a node's configuration.
 type Class struct {
 	Name    string
-	Target  time.Duration
+	Target  time.Duration // latency target
 	Timeout time.Duration
-	Value   float64
-	Effect  string
+	Value   float64 // of a request that is served within the target
+	Effect  string  // whether a request may be repeated: "read_like", "non_idempotent"
 }
 
-// Node describes the configuration of a node among fakes.
+// Node describes the configuration of a node that runs among fake workers and a fake discovery service.
 type Node struct {
 	Name, Listen, Discovery, Seed string
 	MemoryMB                      int
-	Nodes, Zone                   int // how many there are, and the number of its own zone
+	Nodes, Zone                   int // the number of nodes, and the index of this node's zone in Zones
 	Zones                         []string
 	Kind                          string
 	Classes                       []Class
 }
 
-// Config returns a node's configuration file as the platform writes it, with generous limits.
+// Config returns the node's configuration file in the form that the platform writes, with limits that tests do not reach.
 func (n Node) Config() ([]byte, error) {
-	var grades []any
-	for _, g := range n.Classes {
-		grades = append(grades, map[string]any{"name": g.Name, "targetUs": g.Target.Microseconds(), "giveUpUs": g.Timeout.Microseconds(),
-			"points": g.Value, "repeat": g.Effect})
+	var classes []any
+	for _, c := range n.Classes {
+		classes = append(classes, map[string]any{"name": c.Name, "targetUs": c.Target.Microseconds(), "giveUpUs": c.Timeout.Microseconds(),
+			"points": c.Value, "repeat": c.Effect})
 	}
 	return json.Marshal(map[string]any{
 		"name": n.Name, "listen": n.Listen, "discovery": n.Discovery, "seed": n.Seed,
@@ -45,13 +45,12 @@
 			"bounds": map[string]any{"cancelling": true, "secondCopies": true, "probes": true, "retryAfter": true, "maxRetryAfterUs": 2000000,
 				"maxAttempts": 4, "connectTimeoutUs": 250000, "connIdleUs": 60000000, "streamsPerConn": 1},
 			"rules":  map[string]any{"answerSlackUs": 8000, "askWithinUs": 10000000, "drainGraceUs": 300000, "coldFrom": 1.0},
-			"grades": grades}})
+			"grades": classes}})
 }
 
-// FreeAddress finds a loopback address that nothing listens at.
+// FreeAddress returns a loopback address at which nothing listens. It has a random IP address, because on 127.0.0.1 the
+// kernel may assign a port that was just found free to the next outgoing connection of any process.
 func FreeAddress() (string, error) {
-	// One of its own: on 127.0.0.1 the system gives a port just found free to the
-	// next connection that anybody dials.
 	l, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 1+rand.IntN(126), rand.IntN(256), 1+rand.IntN(254)))
 	if err != nil {
 		return "", err
--- a/internal/testkit/fakeplatform/worker.go
+++ b/internal/testkit/fakeplatform/worker.go
@@ -1,6 +1,6 @@
-// Package fakeplatform fakes a node's surroundings on loopback, by the platform's published protocol: prep workers and
-// discovery, each scripted to be slow, silent, failing, vanishing and returning, or dying between two bytes.
-// It serves tests, demonstrations and measurements, never a node.
+// Package fakeplatform fakes the services around a node on loopback, with the platform's published protocol: prep workers
+// and discovery. Scripts make a worker slow, silent or failing, or cut its response between two bytes; a worker can also
+// crash and be started again. The package is for tests, demonstrations and measurements; no deployed node uses it.
 package fakeplatform
 
 import (
@@ -25,21 +25,21 @@
 	Class    string
 	Path     string
 	Body     []byte
-	Deadline time.Duration // 0: none given
+	Deadline time.Duration // 0: none
 }
 
 // Kind is what a worker does with a job.
 type Kind uint8
 
-// The kinds.
+// What a worker does with a job.
 const (
-	Serve    Kind = iota
-	Fail          // starts, runs and reports a failure
-	GiveBack      // returns it without starting it
-	Reject        // answers 400
-	Silent        // accepts it and sends nothing
-	Hang          // reports the start, and nothing more
-	Cut           // ends the connection after so many bytes of the answer
+	Serve    Kind = iota // starts it, runs it and reports the result
+	Fail                 // starts it, runs it and reports a failure
+	GiveBack             // returns it without starting it
+	Reject               // responds with status 400
+	Silent               // accepts it and sends nothing
+	Hang                 // reports the start and nothing more
+	Cut                  // resets the connection after Act.Bytes bytes of the result
 )
 
 // Act is what a worker does with one job.
@@ -47,11 +47,11 @@
 	Kind  Kind
 	Run   time.Duration
 	Until <-chan struct{} // nil: the job runs for Run; otherwise until the channel is closed
-	Slots float64         // 0: one
-	Bytes int             // of the answer, for Cut; the start is reported before them
+	Slots float64         // that the job occupies; below 1: one
+	Bytes int             // of the result that Cut sends, after the report of the start
 }
 
-// wait waits for the end of the job's run. It reports false if the job was given up before.
+// wait waits for the end of the job's run. It returns false if the node cancels the job before.
 func (a Act) wait(ctx context.Context) bool {
 	end := a.Until
 	if end == nil {
@@ -67,46 +67,44 @@
 	}
 }
 
-// Script decides what a worker does with a job. It may be called by several
-// goroutines at once.
+// Script decides what a worker does with a job. Workers that share a script call it concurrently.
 type Script func(Job) Act
 
-// For is the script of workers that serve every job in the given time.
+// For returns a script that serves every job and runs it for the given time.
 func For(run time.Duration) Script { return func(Job) Act { return Act{Run: run} } }
 
-// Worker is a prep worker: a number of slots and a queue, served in the order of
-// arrival.
+// Worker is a fake prep worker with a number of slots and a FIFO queue.
 type Worker struct {
 	Name  string
 	Slots int
 
-	mu            sync.Mutex
-	script        Script
-	server        *http.Server
-	address       string
-	queueCapacity *semaphore.Weighted
-	waiting       int
-	used          float64
-	begun         map[string]int // starts by Req-Id without the number of the attempt
-	received      int
-	served        int
-	busy          time.Duration // slot time
+	mu        sync.Mutex
+	script    Script
+	server    *http.Server
+	address   string
+	freeSlots *semaphore.Weighted // acquired in the order of arrival
+	waiting   int                 // jobs in the queue
+	used      float64             // slots of running jobs
+	begun     map[string]int      // starts by Req-Id without the attempt number
+	received  int
+	served    int
+	busy      time.Duration // run time multiplied by slots
 }
 
-// NewWorker creates a worker; Start has it listen.
+// NewWorker creates a worker that does not listen before Start.
 func NewWorker(name string, slots int, script Script) *Worker {
-	return &Worker{Name: name, Slots: slots, script: script, queueCapacity: semaphore.NewWeighted(int64(slots)), begun: map[string]int{}}
+	return &Worker{Name: name, Slots: slots, script: script, freeSlots: semaphore.NewWeighted(int64(slots)), begun: map[string]int{}}
 }
 
-// Start has the worker listen, at its former address if it had one.
+// Start makes the worker listen, at the address of its previous start if there was one.
 func (w *Worker) Start() error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	at := w.address
-	if at == "" {
-		at = "127.0.0.1:0"
+	address := w.address
+	if address == "" {
+		address = "127.0.0.1:0"
 	}
-	l, err := net.Listen("tcp", at)
+	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return err
 	}
@@ -116,11 +114,10 @@
 	return nil
 }
 
-// Address returns the worker's address.
+// Address returns the address of the last start; empty: none yet.
 func (w *Worker) Address() string { w.mu.Lock(); defer w.mu.Unlock(); return w.address }
 
-// Vanish ends the worker as a crash would: its connections break, what it runs is
-// lost. Start restarts it.
+// Vanish stops the worker as a crash would: its connections break, and its running jobs are lost. Start restarts it.
 func (w *Worker) Vanish() {
 	w.mu.Lock()
 	s := w.server
@@ -134,37 +131,38 @@
 // SetScript replaces the worker's script.
 func (w *Worker) SetScript(s Script) { w.mu.Lock(); w.script = s; w.mu.Unlock() }
 
-// Begun returns how often each job was begun. Jobs of the batch API count by their ID, without the number of the attempt.
+// Begun returns how often each job was started. The attempts of a job of the batch API count as one job.
 func (w *Worker) Begun() map[string]int { w.mu.Lock(); defer w.mu.Unlock(); return maps.Clone(w.begun) }
 
-// Totals returns how many jobs arrived, how many were served, and the slot time that they took.
-func (w *Worker) Totals() (came, served int, busy time.Duration) {
+// Totals returns how many jobs arrived, how many were served, and the sum of run time multiplied by slots.
+func (w *Worker) Totals() (received, served int, busy time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.received, w.served, w.busy
 }
 
-// BaseID removes the number of the attempt from a Req-Id of the batch API.
+// BaseID returns a Req-Id of the batch API without the attempt number.
 func BaseID(id string) string {
-	if at := strings.LastIndexByte(id, '-'); at > 0 {
-		return id[:at]
+	if i := strings.LastIndexByte(id, '-'); i > 0 {
+		return id[:i]
 	}
 	return id
 }
 
-// loadReport is a worker's load in its responses.
+// loadReport is the load that a worker reports in its responses.
 type loadReport struct {
 	Queue     int     `json:"queue"`
 	FreeSlots float64 `json:"x0"`
 }
 
-// load returns the present load.
+// load returns the current load.
 func (w *Worker) load() loadReport {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return loadReport{Queue: w.waiting, FreeSlots: float64(w.Slots) - w.used}
 }
 
+// serve responds to a GET with the load and runs the job of any other request.
 func (w *Worker) serve(out http.ResponseWriter, in *http.Request) {
 	if in.Method == http.MethodGet {
 		_ = json.NewEncoder(out).Encode(w.load())
@@ -173,11 +171,11 @@
 	body, err := io.ReadAll(in.Body)
 	job := Job{ID: in.Header.Get("Req-Id"), Path: in.URL.Path, Body: body}
 	if err != nil || job.ID == "" {
-		http.Error(out, "no request of a node's", http.StatusBadRequest)
+		http.Error(out, "the request has no Req-Id or its body cannot be read", http.StatusBadRequest)
 		return
 	}
-	if s, err := strconv.ParseFloat(in.Header.Get("Req-Deadline"), 64); err == nil {
-		job.Deadline = time.Duration(s * float64(time.Second))
+	if seconds, err := strconv.ParseFloat(in.Header.Get("Req-Deadline"), 64); err == nil {
+		job.Deadline = time.Duration(seconds * float64(time.Second))
 	}
 	job.Class, _, _ = strings.Cut(strings.TrimPrefix(job.Path, "/"), "/")
 	w.mu.Lock()
@@ -187,8 +185,9 @@
 	w.run(out, in, job, act)
 }
 
+// run does with the job what the script decided.
 func (w *Worker) run(out http.ResponseWriter, in *http.Request, job Job, act Act) {
-	say := func(line map[string]any) {
+	send := func(line map[string]any) {
 		line["id"], line["from"] = job.ID, w.Name
 		_ = json.NewEncoder(out).Encode(line)
 		out.(http.Flusher).Flush()
@@ -196,10 +195,10 @@
 	ctx := in.Context()
 	switch act.Kind {
 	case Reject:
-		http.Error(out, "this makes no sense", http.StatusBadRequest)
+		http.Error(out, "the script rejects this job", http.StatusBadRequest)
 		return
 	case GiveBack:
-		say(map[string]any{"state": "returned", "load": w.load()})
+		send(map[string]any{"state": "returned", "load": w.load()})
 		return
 	case Silent:
 		<-ctx.Done()
@@ -207,13 +206,13 @@
 	}
 	slots := max(act.Slots, 1)
 	if !w.acquireSlots(ctx, slots) {
-		return // the node has given the job up while it was queued
+		return // the node canceled the job while it was queued
 	}
 	defer w.releaseSlots(slots, time.Now())
 	w.mu.Lock()
 	w.begun[BaseID(job.ID)]++
 	w.mu.Unlock()
-	say(map[string]any{"state": "started"})
+	send(map[string]any{"state": "started"})
 	if act.Kind == Hang {
 		<-ctx.Done()
 		return
@@ -225,20 +224,21 @@
 	case Cut:
 		w.cut(out, act.Bytes)
 	case Fail:
-		say(map[string]any{"state": "failed", "load": w.load()})
+		send(map[string]any{"state": "failed", "load": w.load()})
 	default:
-		say(map[string]any{"state": "done", "load": w.load(), "result": fmt.Sprintf("%s did %s with %d bytes\n", w.Name, job.Path, len(job.Body))})
+		send(map[string]any{"state": "done", "load": w.load(), "result": fmt.Sprintf("%s did %s with %d bytes\n", w.Name, job.Path, len(job.Body))})
 		w.mu.Lock()
 		w.served++
 		w.mu.Unlock()
 	}
 }
 
+// acquireSlots waits in the queue for the slots. It returns false if the context ends before.
 func (w *Worker) acquireSlots(ctx context.Context, slots float64) bool {
 	w.mu.Lock()
 	w.waiting++
 	w.mu.Unlock()
-	err := w.queueCapacity.Acquire(ctx, int64(slots+0.999))
+	err := w.freeSlots.Acquire(ctx, int64(slots+0.999))
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.waiting--
@@ -249,15 +249,16 @@
 	return true
 }
 
+// releaseSlots releases the slots of a job that has occupied them since the given time.
 func (w *Worker) releaseSlots(slots float64, since time.Time) {
-	w.queueCapacity.Release(int64(slots + 0.999))
+	w.freeSlots.Release(int64(slots + 0.999))
 	w.mu.Lock()
 	w.used -= slots
 	w.busy += time.Duration(slots * float64(time.Since(since)))
 	w.mu.Unlock()
 }
 
-// cut sends the first bytes of a last line and resets the connection.
+// cut sends the given number of bytes of a chunk with the result, and resets the connection.
 func (w *Worker) cut(out http.ResponseWriter, bytes int) {
 	conn, _, err := out.(http.Hijacker).Hijack()
 	if err != nil {
