--- a/internal/testkit/golden/filled.go
+++ b/internal/testkit/golden/filled.go
@@ -6,8 +6,8 @@
 	"reflect"
 )
 
-// FilledJSON returns a row of the JSON document of a structure with a value in every member. It shows that no member has
-// another name, type or place than it had.
+// FilledJSON returns a row for the JSON form of a struct type with a distinct value in every encoded field, so that a change
+// of any field's JSON name, type or position fails the check.
 func FilledJSON[T any](name string) Row {
 	var value T
 	next := 0
@@ -16,14 +16,14 @@
 		Name: name, Value: value,
 		Encode: func() ([]byte, error) { return json.Marshal(value) },
 		Decode: func(encoded []byte) (any, error) {
-			var read T
-			err := json.Unmarshal(encoded, &read)
-			return read, err
+			var decoded T
+			err := json.Unmarshal(encoded, &decoded)
+			return decoded, err
 		},
 	}
 }
 
-// fill gives a value and all that it holds values of its own, by a number that rises with each.
+// fill sets a value and everything in it to distinct values, derived from a counter.
 func fill(value reflect.Value, next *int) {
 	*next++
 	switch value.Kind() {
@@ -54,16 +54,16 @@
 		value.Set(reflect.MakeMap(value.Type()))
 		value.SetMapIndex(key, element)
 	case reflect.Struct:
-		fillMembers(value, next)
+		fillFields(value, next)
 	}
 }
 
-// fillMembers fills the members of a structure that are encoded.
-func fillMembers(structure reflect.Value, next *int) {
-	for i := range structure.NumField() {
-		member := structure.Type().Field(i)
-		if member.IsExported() && member.Tag.Get("json") != "-" {
-			fill(structure.Field(i), next)
+// fillFields fills the fields of a struct that are encoded as JSON.
+func fillFields(value reflect.Value, next *int) {
+	for i := range value.NumField() {
+		field := value.Type().Field(i)
+		if field.IsExported() && field.Tag.Get("json") != "-" {
+			fill(value.Field(i), next)
 		}
 	}
 }
--- a/internal/testkit/golden/golden.go
+++ b/internal/testkit/golden/golden.go
@@ -1,5 +1,5 @@
-// Package golden compares what the program reads and writes with fixtures: bytes that an earlier version wrote, committed
-// beside the tests. It is for tests alone.
+// Package golden compares the formats that the program reads and writes with fixtures: files with bytes that an earlier
+// version wrote, committed beside the tests. Only tests use it.
 package golden
 
 import (
@@ -10,18 +10,18 @@
 	"testing"
 )
 
-// Folder is where a package has the fixtures of commit 8782861.
+// Folder is the directory, in each package, of the fixtures that commit 8782861 wrote.
 const Folder = "testdata/v8782861"
 
-// Row is one stored or sent form of a value.
+// Row is a test case: one format in which a value is stored or sent.
 type Row struct {
-	Name   string // file of the fixture in Folder
-	Value  any    // what the fixture's bytes stand for
+	Name   string // file name of the fixture in Folder
+	Value  any    // the decoded fixture
 	Encode func() ([]byte, error)
-	Decode func([]byte) (any, error) // nil: this program only writes the form
+	Decode func([]byte) (any, error) // nil: the program only writes this format
 
-	// SameMeaning marks an encoding whose bytes may differ between two writers of one form, such as deflated data: what
-	// Encode writes must then be read as Value, and need not be the fixture's bytes.
+	// SameMeaning marks a format in which several encodings of a value are valid, such as deflated data: the output of
+	// Encode must then decode to Value, but may differ from the fixture.
 	SameMeaning bool
 }
 
@@ -30,12 +30,13 @@
 	t.Helper()
 	content, err := os.ReadFile(filepath.Join(Folder, name))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("read the fixture: %v", err)
 	}
 	return content
 }
 
-// Check decodes each row's fixture, compares the value, encodes the value and compares the bytes.
+// Check decodes the fixture of each row and compares the result with the value, then encodes the value and compares the
+// bytes with the fixture.
 func Check(t *testing.T, rows []Row) {
 	t.Helper()
 	for _, row := range rows {
@@ -50,11 +51,11 @@
 	encoded, err := r.Encode()
 	switch {
 	case err != nil:
-		t.Fatal(err)
+		t.Fatalf("encode the value: %v", err)
 	case r.SameMeaning:
 		r.checkValue(t, encoded)
 	case !bytes.Equal(encoded, fixture):
-		t.Errorf("encoded %q, the fixture holds %q", encoded, fixture)
+		t.Errorf("encoded the value: got %q, want the fixture's %q", encoded, fixture)
 	}
 }
 
@@ -65,9 +66,9 @@
 	}
 	value, err := r.Decode(encoded)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("decode %q: %v", encoded, err)
 	}
 	if !reflect.DeepEqual(value, r.Value) {
-		t.Errorf("decoded %#v, want %#v", value, r.Value)
+		t.Errorf("decoded %q: got %#v, want %#v", encoded, value, r.Value)
 	}
 }
--- a/internal/testkit/loadgen/load.go
+++ b/internal/testkit/loadgen/load.go
@@ -1,7 +1,6 @@
-// Package loadgen sends requests to a platform front as its clients do, open-loop:
-// each is sent at its intended time, whatever the outcome of the earlier ones, and its
-// latency counts from that time, so that a stalled server cannot hide the
-// requests that it delayed (coordinated omission).
+// Package loadgen is an open-loop load generator for a platform front. Each request is sent at its intended time,
+// regardless of the outcome of earlier ones, and its latency counts from that time. A server that stalls therefore shows in
+// the latency of all the requests that it delays: the measurement does not suffer from coordinated omission.
 package loadgen
 
 import (
@@ -19,48 +18,48 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Class is one kind of request in a mix.
+// Class is one class of requests in the mix.
 type Class struct {
 	Name   string
-	Share  float64       // of the requests
-	Target time.Duration // an answer within it is good service
-	Within time.Duration // Req-Deadline
+	Share  float64       // fraction of the requests; the last class gets the remainder
+	Target time.Duration // latency target
+	Within time.Duration // deadline that the client sends in Req-Deadline
 }
 
 // Config describes a load.
 type Config struct {
-	URL     string // of the platform front
-	Rate    float64
-	For     time.Duration
+	URL     string        // of the platform front
+	Rate    float64       // requests a second
+	For     time.Duration // length of the load
 	Seed    uint64
 	Classes []Class
-	Prefix  string // of the Req-Ids
-	// Stop ends the load when it is closed: nothing more is sent, what was sent is answered. nil: it ends by itself.
+	Prefix  string // of the values of Req-Id
+	// Stop, if not nil, ends the load early when it is closed: no more requests are sent; Run still waits for the responses.
 	Stop <-chan struct{}
-	// MaxPending is how many requests may wait for their answers at once; what is due meanwhile is sent later. 0: any number.
+	// MaxPending limits the number of requests that wait for a response; above it, due requests are sent later. 0: no limit.
 	MaxPending int
 	// DialTimeout limits how long a connection takes to open; 0: defaultDialTimeout.
 	DialTimeout time.Duration
 	// OnSend is called for every request before it is sent. It may be nil.
 	OnSend func(id string)
-	// OnResponse is called for every request as it ends, with its intended time, its class, the
-	// response's status (0: none) and how long it took. It may be nil.
+	// OnResponse is called for every request as it ends, with its intended time since the start of the load, its class, the
+	// status of the response (0: none) and the latency from the intended time. It may be nil.
 	OnResponse func(at time.Duration, class *Class, id string, status int, took time.Duration)
 }
 
-// defaultDialTimeout is how long a client waits for a connection.
+// defaultDialTimeout limits how long a connection takes to open.
 const defaultDialTimeout = 2 * time.Second
 
-// Result counts the outcomes of a load.
+// Result has the numbers of requests by outcome and the latencies of a load.
 type Result struct {
 	Sent, Served, WithinTarget, Refused, Failed, Broken int
-	Latency                                             *hdrhistogram.Histogram // microseconds, of served ones
+	Latency                                             *hdrhistogram.Histogram // of served requests, in microseconds
 }
 
-// Service is the share of the requests that were served within their target.
+// Service returns the fraction of the requests that were served within their latency target.
 func (r *Result) Service() float64 { return float64(r.WithinTarget) / float64(max(r.Sent, 1)) }
 
-// Percentile returns a latency.
+// Percentile returns a percentile, between 0 and 100, of the latencies of served requests.
 func (r *Result) Percentile(p float64) time.Duration {
 	return time.Duration(r.Latency.ValueAtQuantile(p)) * time.Microsecond
 }
@@ -72,7 +71,7 @@
 	id    string
 }
 
-// plan draws the arrivals, a Poisson process that depends on the seed alone.
+// plan draws the arrivals as a Poisson process. They depend only on the configuration with its seed.
 func (c *Config) plan() (out []arrival) {
 	rng := rand.New(rand.NewPCG(c.Seed, 7))
 	for at := time.Duration(0); ; {
@@ -92,7 +91,7 @@
 	}
 }
 
-// Run sends the load and waits for all answers.
+// Run sends the load and waits until every request that was sent has ended.
 func Run(ctx context.Context, config Config) *Result {
 	dialer := &net.Dialer{Timeout: cmp.Or(config.DialTimeout, defaultDialTimeout)}
 	transport := &http.Transport{MaxIdleConnsPerHost: 256, DialContext: dialer.DialContext}
@@ -102,47 +101,47 @@
 	if config.MaxPending > 0 {
 		r.slots = make(chan struct{}, config.MaxPending)
 	}
-	for _, s := range config.plan() {
-		if !config.awaitTurn(ctx, r.start.Add(s.at)) {
+	for _, a := range config.plan() {
+		if !config.awaitTurn(ctx, r.start.Add(a.at)) {
 			break
 		}
 		if r.slots != nil {
 			r.slots <- struct{}{}
 		}
 		if config.OnSend != nil {
-			config.OnSend(s.id)
+			config.OnSend(a.id)
 		}
-		r.pending.Go(func() { r.play(ctx, s) })
+		r.pending.Go(func() { r.sendAndCount(ctx, a) })
 	}
 	r.pending.Wait()
 	return r.result
 }
 
-// run is a load that is being sent.
+// run is the state of a load that is being sent.
 type run struct {
 	config  Config
 	client  *http.Client
 	start   time.Time
-	slots   chan struct{} // one for each pending request; nil: any number
+	slots   chan struct{} // has one element for each pending request; nil: no limit
 	pending sync.WaitGroup
 
 	mutex  sync.Mutex
 	result *Result
 }
 
-// play sends one request and counts its outcome.
-func (r *run) play(ctx context.Context, s arrival) {
-	status := send(ctx, r.client, r.config.URL, s)
-	took := time.Since(r.start.Add(s.at))
+// sendAndCount sends one request and counts its outcome.
+func (r *run) sendAndCount(ctx context.Context, a arrival) {
+	status := send(ctx, r.client, r.config.URL, a)
+	took := time.Since(r.start.Add(a.at))
 	if r.slots != nil {
 		<-r.slots
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if r.config.OnResponse != nil {
-		r.config.OnResponse(s.at, s.class, s.id, status, took)
+		r.config.OnResponse(a.at, a.class, a.id, status, took)
 	}
-	r.result.count(s.class, status, took)
+	r.result.count(a.class, status, took)
 }
 
 // count counts the outcome of a request.
@@ -164,7 +163,7 @@
 	}
 }
 
-// awaitTurn waits until the next request is due. It returns false if the load ends before.
+// awaitTurn waits until a request is due. It returns false if the load ends before.
 func (c *Config) awaitTurn(ctx context.Context, due time.Time) bool {
 	select {
 	case <-ctx.Done():
@@ -176,19 +175,19 @@
 	}
 }
 
-// send returns the response's status, or 0 if there was none.
-func send(ctx context.Context, client *http.Client, url string, s arrival) int {
-	in, err := http.NewRequestWithContext(ctx, "POST", url+"/"+s.class.Name, strings.NewReader("model"))
+// send sends a request and returns the status of the response, or 0 if there was none.
+func send(ctx context.Context, client *http.Client, url string, a arrival) int {
+	request, err := http.NewRequestWithContext(ctx, "POST", url+"/"+a.class.Name, strings.NewReader("model"))
 	if err != nil {
 		return 0
 	}
-	in.Header.Set("Req-Id", s.id)
-	in.Header.Set("Req-Deadline", strconv.FormatFloat(s.class.Within.Seconds(), 'f', 3, 64))
-	answer, err := client.Do(in)
+	request.Header.Set("Req-Id", a.id)
+	request.Header.Set("Req-Deadline", strconv.FormatFloat(a.class.Within.Seconds(), 'f', 3, 64))
+	response, err := client.Do(request)
 	if err != nil {
 		return 0
 	}
-	defer answer.Body.Close()
-	_, _ = io.Copy(io.Discard, answer.Body)
-	return answer.StatusCode
+	defer response.Body.Close()
+	_, _ = io.Copy(io.Discard, response.Body)
+	return response.StatusCode
 }
--- a/internal/testkit/scriptedpeer/scenario.go
+++ b/internal/testkit/scriptedpeer/scenario.go
@@ -1,23 +1,23 @@
-// Package scriptedpeer plays network scenarios against the node in tests. A
-// scenario is a text, one step a line:
+// Package scriptedpeer runs scripted network scenarios against a node in tests. A scenario is a text with one step on each
+// line:
 //
-//	NAME dial SERVICE     open a connection to a service of the bench
-//	NAME accept SERVICE   accept the next connection to a fake service
-//	NAME send TEXT        TEXT may contain \r, \n and the bench's {words}
-//	NAME expect TEXT      read until TEXT has arrived; what is before it is skipped
-//	NAME keep WORD TEXT   read until TEXT has arrived; what follows it, to the next
-//	                      quotation mark, is {WORD} from then on
-//	NAME arrives          wait until the node's kernel has received all that was sent
-//	NAME leaves           close the sending side, and wait until the node's kernel has received that
-//	NAME resets           break the connection
-//	NAME closed           read until the other side has ended the connection
-//	NAME ended            the same, and it was no reset
-//	NAME close            end the connection
-//	wait SPAN             let the node's clock advance by so much
+//	NAME dial SERVICE     open a connection to a service that was named to Serve or Listen
+//	NAME accept SERVICE   accept the next connection to a fake service of Listen
+//	NAME send TEXT        send TEXT, which may contain \r, \n and variables as {WORD}
+//	NAME expect TEXT      read until TEXT has arrived, and discard it with the text before it
+//	NAME keep WORD TEXT   read until TEXT has arrived, and assign the text from there
+//	                      to the next quotation mark to the variable WORD
+//	NAME arrives          wait until the node's kernel has acknowledged all that was sent
+//	NAME leaves           close the sending side, and wait until the node's kernel has acknowledged that
+//	NAME resets           reset the connection
+//	NAME closed           read until the other side has closed or reset the connection
+//	NAME ended            expect that the other side has closed the connection, without a reset
+//	NAME close            close the connection
+//	wait SPAN             advance the node's clock by SPAN, in small steps
 //
-// Lines that start with '#' are remarks. The clock is the bench's: no step
-// races with real time, which only bounds how long a failing step hangs. What is
-// sent within a callback of the loop arrives while the node reads nothing.
+// Lines that start with '#' are comments. The node's clock advances only by steps and calls of the bench, so no step races
+// with real time, which only limits how long a failing step hangs. Bytes that are sent within a callback of the event loop
+// arrive while the node reads nothing.
 package scriptedpeer
 
 import (
@@ -38,30 +38,30 @@
 )
 
 const (
-	stepTimeout = time.Minute          // real time after which a step that does not end fails
-	clockStep   = 5 * time.Millisecond // by which the clock advances at once
+	stepTimeout = time.Minute          // real time after which an unfinished step fails
+	clockStep   = 5 * time.Millisecond // by which the node's clock advances between two iterations of the loop
 
-	tcpFinWait2 = 5 // the kernel's number of the state in which the other side has acknowledged the end of a connection
+	tcpFinWait2 = 5 // the kernel's number of FIN_WAIT2: the other side has acknowledged the FIN
 )
 
-// Bench runs scenarios: it has an event loop with a clock of its own, and fake services.
+// Bench runs scenarios. It has an event loop with a simulated clock, fake services and named connections.
 type Bench struct {
 	Loop      *eventloop.Loop
-	Variables map[string]string // {name} in texts
+	Variables map[string]string // texts of scenarios refer to them as {name}
 
 	t         *testing.T
-	now       atomic.Int64
-	services  map[string]string
+	now       atomic.Int64      // the simulated clock, in nanoseconds
+	services  map[string]string // addresses by name
 	listeners map[string]net.Listener
 	conns     map[string]*conn
 }
 
 type conn struct {
 	net.Conn
-	unread []byte
+	unread []byte // received, not yet consumed by a step
 }
 
-// New returns a bench whose loop stops at the end of the test.
+// New returns a bench. At the end of the test its connections are closed and its loop is stopped.
 func New(t *testing.T) *Bench {
 	t.Helper()
 	s := &Bench{t: t, Variables: map[string]string{}, services: map[string]string{},
@@ -80,13 +80,13 @@
 			l.Close()
 		}
 		if err := loop.Stop(); err != nil {
-			t.Error(err)
+			t.Errorf("stop the event loop: %v", err)
 		}
 	})
 	return s
 }
 
-// Listen starts a fake outside service and returns its address.
+// Listen starts a fake service for the node to connect to, and returns its address.
 func (s *Bench) Listen(name string) string {
 	s.t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -98,12 +98,11 @@
 	return l.Addr().String()
 }
 
-// Serve names a service of the node that scenarios dial.
+// Serve names the address of a service of the node for the scenarios to dial.
 func (s *Bench) Serve(name, address string) { s.services[name] = address }
 
-// FreeAddress returns a loopback address that nothing listens at. It is one of its
-// own, since on 127.0.0.1 the system gives a port just found free to the next
-// connection that any test dials.
+// FreeAddress returns a loopback address at which nothing listens. It has a random IP address, because on 127.0.0.1 the
+// kernel may assign a port that was just found free to the next outgoing connection of any test.
 func FreeAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 64+rand.IntN(64), rand.IntN(256), 1+rand.IntN(254)))
@@ -114,7 +113,7 @@
 	return l.Addr().String()
 }
 
-// Advance lets the node's clock run for a time.
+// Advance advances the node's clock by a span, in small steps with an iteration of the loop after each.
 func (s *Bench) Advance(span time.Duration) {
 	for ; span > 0; span -= clockStep {
 		s.now.Add(int64(min(span, clockStep)))
@@ -122,22 +121,22 @@
 	}
 }
 
-// JumpClock advances the node's clock at once, as after a delay of the loop: no timer fires before its next iteration.
+// JumpClock advances the node's clock in one step, as a delay of the loop would: no timer fires before its next iteration.
 func (s *Bench) JumpClock(span time.Duration) { s.now.Add(int64(span)) }
 
-// WaitUntil waits until f, which runs on the loop, returns true. The clock does not advance.
-func (s *Bench) WaitUntil(f func() bool) {
+// WaitUntil waits in real time until the condition, which is checked on the loop, is met. The node's clock does not advance.
+func (s *Bench) WaitUntil(condition func() bool) {
 	s.t.Helper()
 	for end := time.Now().Add(stepTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		met := false
-		if s.Loop.Call(func() { met = f() }); met {
+		if s.Loop.Call(func() { met = condition() }); met {
 			return
 		}
 	}
-	s.t.Fatal("the condition was not met in time")
+	s.t.Fatalf("the condition was not met within %v", stepTimeout)
 }
 
-// Play plays a scenario.
+// Play runs the steps of a scenario in order and ends the test at the first one that fails.
 func (s *Bench) Play(text string) {
 	s.t.Helper()
 	for line := range strings.SplitSeq(text, "\n") {
@@ -146,18 +145,18 @@
 			continue
 		}
 		if err := s.step(line); err != nil {
-			s.t.Fatalf("%s: %v", line, err)
+			s.t.Fatalf("scenario step %q: %v", line, err)
 		}
 	}
 }
 
 // Errors of a scenario's steps.
 var (
-	errNoConnection   = errors.New("no such connection")
-	errNoVerb         = errors.New("no such verb")
-	errNoService      = errors.New("no such fake service")
-	errStillOpen      = errors.New("the connection is still open")
-	errConditionUnmet = errors.New("the connection did not reach the state in time")
+	errNoConnection   = errors.New("no connection of this name was dialed or accepted")
+	errNoVerb         = errors.New("unknown verb")
+	errNoService      = errors.New("no fake service of this name listens")
+	errStillOpen      = errors.New("the other side has not closed the connection in time")
+	errConditionUnmet = errors.New("the kernel's connection did not reach the expected state in time")
 )
 
 // step runs one line of a scenario.
@@ -203,7 +202,7 @@
 	return err
 }
 
-// step runs a verb without an argument.
+// step runs a verb that has no argument.
 func (c *conn) step(verb string) error {
 	switch verb {
 	case "arrives":
@@ -222,7 +221,7 @@
 		return c.expectEnd()
 	case "ended":
 		if err := c.readMore(); !errors.Is(err, io.EOF) {
-			return fmt.Errorf("the connection has not ended, %q arrived: %w", c.unread, err)
+			return fmt.Errorf("the connection was not closed cleanly; unread: %q: %w", c.unread, err)
 		}
 		return nil
 	case "close":
@@ -231,7 +230,7 @@
 	return errNoVerb
 }
 
-// connect opens or accepts a connection, as the verb says.
+// connect dials a service or accepts a connection to it, depending on the verb.
 func (s *Bench) connect(verb, service string) (net.Conn, error) {
 	if verb == "dial" {
 		return net.DialTimeout("tcp", s.services[service], stepTimeout)
@@ -246,12 +245,12 @@
 	return l.Accept()
 }
 
-// AdvanceUntil lets the node's clock run until f, which runs on the loop, returns true, for at most the given time. It
-// returns how long that was. Only the node's clock counts: however slow the machine is, the span is the same.
-func (s *Bench) AdvanceUntil(most time.Duration, f func() bool) (span time.Duration, met bool) {
+// AdvanceUntil advances the node's clock until the condition, which is checked on the loop, is met or the limit is reached.
+// It returns by how much the clock advanced. That does not depend on the speed of the machine.
+func (s *Bench) AdvanceUntil(limit time.Duration, condition func() bool) (span time.Duration, met bool) {
 	s.t.Helper()
 	for {
-		if s.Loop.Call(func() { met = f() }); met || span >= most {
+		if s.Loop.Call(func() { met = condition() }); met || span >= limit {
 			return span, met
 		}
 		s.Advance(clockStep)
@@ -259,16 +258,17 @@
 	}
 }
 
-func (s *Bench) expand(v string) string {
+// expand replaces the variables and escapes in a text.
+func (s *Bench) expand(text string) string {
 	for range 2 { // a variable may contain another
 		for name, value := range s.Variables {
-			v = strings.ReplaceAll(v, "{"+name+"}", value)
+			text = strings.ReplaceAll(text, "{"+name+"}", value)
 		}
 	}
-	return strings.NewReplacer(`\r`, "\r", `\n`, "\n").Replace(v)
+	return strings.NewReplacer(`\r`, "\r", `\n`, "\n").Replace(text)
 }
 
-// expect reads until the text has arrived, and keeps what follows it.
+// expect reads until the text has arrived, and leaves what follows it unread.
 func (c *conn) expect(text string) error {
 	for {
 		if i := strings.Index(string(c.unread), text); i >= 0 {
@@ -276,12 +276,12 @@
 			return nil
 		}
 		if err := c.readMore(); err != nil {
-			return errors.Join(err, fmt.Errorf("arrived: %q", c.unread))
+			return errors.Join(err, fmt.Errorf("waiting for %q, unread: %q", text, c.unread))
 		}
 	}
 }
 
-// readUntil returns what precedes the next such byte, which stays unread.
+// readUntil returns the text before the next occurrence of a byte, which stays unread.
 func (c *conn) readUntil(end byte) (string, error) {
 	for {
 		if i := strings.IndexByte(string(c.unread), end); i >= 0 {
@@ -295,12 +295,13 @@
 	}
 }
 
+// expectEnd reads until the other side closes or resets the connection.
 func (c *conn) expectEnd() error {
 	for {
 		err := c.readMore()
-		var late net.Error
+		var netErr net.Error
 		switch {
-		case errors.As(err, &late) && late.Timeout():
+		case errors.As(err, &netErr) && netErr.Timeout():
 			return errStillOpen
 		case err != nil:
 			return nil
@@ -308,33 +309,34 @@
 	}
 }
 
-// awaitKernel waits until the state of the connection in this side's kernel meets a condition. On loopback that is
-// soon; the other side's program need not have read anything.
+// awaitKernel waits until the connection's state in this side's kernel meets a condition. It does not depend on the other
+// side's program, which need not have read anything.
 func (c *conn) awaitKernel(met func(unacknowledged int, state uint8) bool) error {
 	raw, err := c.Conn.(*net.TCPConn).SyscallConn()
 	if err != nil {
 		return err
 	}
 	for end := time.Now().Add(stepTimeout); time.Now().Before(end); runtime.Gosched() {
-		q, state := 0, uint8(0)
+		unacknowledged, state := 0, uint8(0)
 		var err error
-		if received := raw.Control(func(fd uintptr) {
+		if controlErr := raw.Control(func(fd uintptr) {
 			var info *unix.TCPInfo
-			if q, err = unix.IoctlGetInt(int(fd), unix.TIOCOUTQ); err == nil {
+			if unacknowledged, err = unix.IoctlGetInt(int(fd), unix.TIOCOUTQ); err == nil {
 				if info, err = unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO); err == nil {
 					state = info.State
 				}
 			}
-		}); received != nil || err != nil {
-			return errors.Join(received, err)
+		}); controlErr != nil || err != nil {
+			return errors.Join(controlErr, err)
 		}
-		if met(q, state) {
+		if met(unacknowledged, state) {
 			return nil
 		}
 	}
 	return errConditionUnmet
 }
 
+// readMore appends the next bytes that arrive to the unread ones.
 func (c *conn) readMore() error {
 	if err := c.SetReadDeadline(time.Now().Add(stepTimeout)); err != nil {
 		return err
@@ -345,10 +347,10 @@
 	return err
 }
 
-// Chunk returns a line as one chunk of a body, with the escapes of scenarios.
+// Chunk returns a line, with a newline, as one chunk of a chunked HTTP body, with the escapes of scenarios.
 func Chunk(line string) string {
 	return fmt.Sprintf(`%x\r\n%s\n\r\n`, len(line)+1, line)
 }
 
-// Unread returns what has arrived on a connection and no step has read.
+// Unread returns what has arrived on a connection and was not consumed by a step.
 func (s *Bench) Unread(name string) string { return string(s.conns[name].unread) }
