--- a/internal/testkit/conformance/run.go
+++ b/internal/testkit/conformance/run.go
@@ -52,12 +52,12 @@
 
 // run is the state of one running case.
 type run struct {
-	ctx     context.Context
-	config  Config
-	client  *client.Client
-	session *client.Session
-	class   string // of the jobs that cases submit
-	once    string // a class whose jobs must not run twice; empty: the server has none
+	ctx                context.Context
+	config             Config
+	client             *client.Client
+	session            *client.Session
+	class              string // of the jobs that cases submit
+	nonIdempotentClass string // a class whose jobs must not run twice; empty: the server has none
 }
 
 // failure is the panic value that ends a failed case.
@@ -98,7 +98,7 @@
 	}
 	for _, q := range queues {
 		if q.NonIdempotent {
-			template.once = q.Name
+			template.nonIdempotentClass = q.Name
 		} else {
 			template.class = q.Name
 		}
--- a/internal/testkit/conformance/session_cases.go
+++ b/internal/testkit/conformance/session_cases.go
@@ -127,10 +127,10 @@
 		}
 	}},
 	{"template.rerunnable", "binding, Job template", "rerunnable is rejected for a class whose jobs must not run twice", func(t *run) {
-		if t.once == "" {
+		if t.nonIdempotentClass == "" {
 			return
 		}
-		t.wantError(t.call("POST", t.path("/jobs"), fmt.Sprintf(`{"remoteCommand":%q,"rerunnable":true}`, t.once)), 422, drmaa.UnsupportedAttribute, "rerunnable")
+		t.wantError(t.call("POST", t.path("/jobs"), fmt.Sprintf(`{"remoteCommand":%q,"rerunnable":true}`, t.nonIdempotentClass)), 422, drmaa.UnsupportedAttribute, "rerunnable")
 	}},
 	{"template.key", "binding, Client keys", "the same template under one client key is one job; another template under that key is rejected", func(t *run) {
 		in := drmaa.JobTemplate{RemoteCommand: t.class, SubmitAsHold: true, ClientKey: "conform " + t.session.Name}
--- a/internal/testkit/endtoend/evacuation.go
+++ b/internal/testkit/endtoend/evacuation.go
@@ -50,9 +50,9 @@
 // measures how soon a zone is evacuated, and package simulation checks it.
 type evacuation struct {
 	*trial
-	faults zoneFaults
-	spared map[string]bool
-	begun  time.Time // start of the faults
+	faults     zoneFaults
+	spared     map[string]bool
+	faultStart time.Time // start of the faults
 
 	spansMutex      sync.Mutex
 	evacuationSpans map[string][]evacuationSpan // by node
@@ -74,7 +74,7 @@
 	report.Processes = len(s.nodes) + len(s.voters)
 	s.startedAt = time.Now()
 	e := &evacuation{trial: s, faults: s.drawFaults(), evacuationSpans: map[string][]evacuationSpan{}}
-	err = e.play(ctx, &report)
+	err = e.run(ctx, &report)
 	e.noteEvacuationSpans()
 	report.Events = s.events
 	return report, err
@@ -93,8 +93,8 @@
 	}
 }
 
-// play runs the phases of the trial under load and then checks the invariants.
-func (e *evacuation) play(ctx context.Context, report *Report) error {
+// run runs the phases of the trial under load and then checks the invariants.
+func (e *evacuation) run(ctx context.Context, report *Report) error {
 	polling, stopPolling := context.WithCancel(ctx)
 	defer stopPolling()
 	polled := make(chan []observation)
@@ -121,7 +121,7 @@
 
 // phases waits for the condition that ends each phase.
 func (e *evacuation) phases(ctx context.Context) error {
-	e.countRequests(e.faults.zone)
+	e.recordRequests(e.faults.zone)
 	if err := e.awaitAnswers(ctx, time.Time{}, requestsBeforeFault); err != nil {
 		return fmt.Errorf("waiting for answers before the fault: %w", err)
 	}
@@ -129,13 +129,13 @@
 	if err != nil {
 		return err
 	}
-	e.begun = time.Now()
+	e.faultStart = time.Now()
 	observing, stopObserving := context.WithCancel(ctx)
 	var observers sync.WaitGroup
 	for _, node := range e.judgedNodes() {
 		observers.Go(func() { e.observe(observing, node) })
 	}
-	err = e.await(ctx, e.shown)
+	err = e.await(ctx, e.seenEnough)
 	stopObserving()
 	observers.Wait()
 	if err != nil {
@@ -169,15 +169,15 @@
 	})
 }
 
-// shown reports whether the trial has seen enough of the fault to end it.
-func (e *evacuation) shown() bool {
+// seenEnough reports whether the trial has seen enough of the fault to end it.
+func (e *evacuation) seenEnough() bool {
 	if e.plan.Without != "" {
 		return len(e.sentDespiteEvacuation()) > 0
 	}
 	if e.plan.Alone {
-		return e.answeredSince(e.begun) >= 2*requestsDuringFault
+		return e.answeredSince(e.faultStart) >= 2*requestsDuringFault
 	}
-	return e.answeredWithinEvacuations() >= requestsEvacuated || e.answeredSince(e.begun) >= 4*requestsDuringFault && e.barelyUsed()
+	return e.answeredWithinEvacuations() >= requestsEvacuated || e.answeredSince(e.faultStart) >= 4*requestsDuringFault && e.barelyUsed()
 }
 
 // barelyUsed reports whether the processes send almost nothing to the failing zone of their own accord: the leader then
@@ -185,7 +185,7 @@
 func (e *evacuation) barelyUsed() bool {
 	all, sent := 0, 0
 	for _, r := range e.ended() {
-		if e.spared[r.node] || r.sentAt.Before(e.begun) {
+		if e.spared[r.node] || r.sentAt.Before(e.faultStart) {
 			continue
 		}
 		all++
--- a/internal/testkit/endtoend/proxy.go
+++ b/internal/testkit/endtoend/proxy.go
@@ -14,9 +14,9 @@
 
 // Link describes how a proxy treats the bytes of one direction.
 type Link struct {
-	Delayed bool          // bytes are withheld until this is false again, as in a partition that heals
-	Delay   time.Duration // of each fragment
-	Cut     bool          // connections are reset, and new ones are closed at once
+	Withheld bool          // bytes are delivered only once this is false again, as in a partition that heals
+	Delay    time.Duration // of each fragment
+	Cut      bool          // connections are reset, and new ones are closed at once
 }
 
 // Proxy relays the connections from one process to another. The process that connects is configured with the proxy's
@@ -26,14 +26,14 @@
 	target   string
 	listener net.Listener
 
-	mu      sync.Mutex
-	changed chan struct{} // closed and replaced when a link changes or the proxy closes
-	out, in Link          // from From to To, and back
-	conns   map[net.Conn]bool
-	passed  []time.Time     // when fragments were sent from From to To, if counts is set
-	ids     map[string]bool // of the requests that were sent from From to To, if counts is set
-	counts  bool
-	ended   bool
+	mu        sync.Mutex
+	changed   chan struct{} // closed and replaced when a link changes or the proxy closes
+	out, in   Link          // from From to To, and back
+	conns     map[net.Conn]bool
+	sendTimes []time.Time     // when fragments were sent from From to To, if recording is set
+	requests  map[string]bool // IDs of the requests that were sent from From to To, if recording is set
+	recording bool
+	ended     bool
 }
 
 // NewProxy starts a proxy at a free loopback port, which relays to the target.
@@ -43,7 +43,7 @@
 		return nil, err
 	}
 	p := &Proxy{From: from, To: to, target: target, listener: l, changed: make(chan struct{}), conns: map[net.Conn]bool{},
-		ids: map[string]bool{}}
+		requests: map[string]bool{}}
 	go p.accept()
 	return p, nil
 }
@@ -51,8 +51,8 @@
 // Address returns the address at which the proxy listens.
 func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
-// Set replaces the treatment of the bytes from From to To and of those back.
-func (p *Proxy) Set(out, in Link) {
+// SetLinks replaces the treatment of the bytes from From to To and of those back.
+func (p *Proxy) SetLinks(out, in Link) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.out, p.in = out, in
@@ -84,14 +84,14 @@
 	p.reset()
 }
 
-// Count begins to record the fragments and requests that From sends.
-func (p *Proxy) Count() { p.mu.Lock(); p.counts = true; p.mu.Unlock() }
+// StartRecording begins to record the fragments and requests that From sends.
+func (p *Proxy) StartRecording() { p.mu.Lock(); p.recording = true; p.mu.Unlock() }
 
-// HasRequest reports whether From has sent a request with the ID since Count.
-func (p *Proxy) HasRequest(id string) bool { p.mu.Lock(); defer p.mu.Unlock(); return p.ids[id] }
+// HasRequest reports whether From has sent a request with the ID since StartRecording.
+func (p *Proxy) HasRequest(id string) bool { p.mu.Lock(); defer p.mu.Unlock(); return p.requests[id] }
 
-// SendTimes returns the times at which From has sent fragments since Count.
-func (p *Proxy) SendTimes() []time.Time { p.mu.Lock(); defer p.mu.Unlock(); return p.passed }
+// SendTimes returns the times at which From has sent fragments since StartRecording.
+func (p *Proxy) SendTimes() []time.Time { p.mu.Lock(); defer p.mu.Unlock(); return p.sendTimes }
 
 func (p *Proxy) accept() {
 	for {
@@ -120,7 +120,7 @@
 	if !p.add(client) {
 		return
 	}
-	// The client sends first. Its bytes are read and counted while the link withholds them, and are sent on once the link
+	// The client sends first. Its bytes are read and recorded while the link withholds them, and are sent on once the link
 	// delivers again.
 	first := p.read(client)
 	head, ok := <-first
@@ -180,12 +180,12 @@
 func (p *Proxy) recordOutgoing(ids []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.counts {
+	if !p.recording {
 		return
 	}
-	p.passed = append(p.passed, time.Now())
+	p.sendTimes = append(p.sendTimes, time.Now())
 	for _, id := range ids {
-		p.ids[id] = true
+		p.requests[id] = true
 	}
 }
 
@@ -208,7 +208,7 @@
 		if ended {
 			return false
 		}
-		if !l.Delayed {
+		if !l.Withheld {
 			return true
 		}
 		<-changed
--- a/internal/testkit/endtoend/trial.go
+++ b/internal/testkit/endtoend/trial.go
@@ -307,7 +307,7 @@
 func (s *trial) setLinks(out, back Link, match func(from, to string) bool) {
 	for _, p := range s.proxies {
 		if match(p.From, p.To) {
-			p.Set(out, back)
+			p.SetLinks(out, back)
 		}
 	}
 }
--- a/internal/testkit/endtoend/zone_failure.go
+++ b/internal/testkit/endtoend/zone_failure.go
@@ -22,11 +22,11 @@
 
 // observation is the state of one voter at one poll.
 type observation struct {
-	at    time.Duration
-	voter string
-	runs  int // how often the voter had been started
-	table commands.Table
-	leads bool
+	at     time.Duration
+	voter  string
+	starts int // how often the voter had been started
+	table  commands.Table
+	leads  bool
 }
 
 // Zone runs a trial in which a zone fails and recovers, with a second fault at a process or a link meanwhile.
@@ -62,10 +62,10 @@
 
 // zoneFaults are the faults of a trial.
 type zoneFaults struct {
-	zone   string   // the zone that fails
-	how    int      // how the zone fails: partitionZone and so on
-	second int      // kind of the second fault: freezeNode and so on; 0: none
-	node   *Process // at which the second fault is injected, if it is a fault of a node
+	zone        string   // the zone that fails
+	failure     int      // how the zone fails: partitionZone and so on
+	secondFault int      // kind of the second fault: freezeNode and so on; 0: none
+	node        *Process // at which the second fault is injected, if it is a fault of a node
 }
 
 // Ways in which a zone fails. They are drawn by number, so their order is part of what a seed stands for.
@@ -73,21 +73,21 @@
 	partitionZone = iota
 	resetZone
 	loseZoneResponses
-	zoneFailures // number of ways
+	numZoneFailures // number of ways
 )
 
 // drawFaults draws the faults. They depend on the seed alone, so that trials with and without voters have the same ones.
 func (s *trial) drawFaults() zoneFaults {
 	rng := rand.New(rand.NewPCG(s.plan.Seed, 12))
-	return zoneFaults{zone: zones[rng.IntN(len(zones))], how: rng.IntN(zoneFailures), second: rng.IntN(secondFaults),
+	return zoneFaults{zone: zones[rng.IntN(len(zones))], failure: rng.IntN(numZoneFailures), secondFault: rng.IntN(numSecondFaults),
 		node: s.nodes[rng.IntN(len(s.nodes))]}
 }
 
-// countRequests has the proxies to the workers of a zone record the requests.
-func (s *trial) countRequests(zone string) {
+// recordRequests has the proxies to the workers of a zone record the requests.
+func (s *trial) recordRequests(zone string) {
 	for _, p := range s.proxies {
 		if toWorkersOf(zone)(p.From, p.To) {
-			p.Count()
+			p.StartRecording()
 		}
 	}
 }
@@ -102,18 +102,18 @@
 func (s *trial) beginFaults(faults zoneFaults) (spared map[string]bool, end func()) {
 	spared = map[string]bool{}
 	toWorkers := toWorkersOf(faults.zone)
-	switch faults.how {
+	switch faults.failure {
 	case partitionZone:
 		s.note("zone %s: partition: traffic to and from its prep workers is withheld, no connection is reset", faults.zone)
-		s.setLinks(Link{Delayed: true}, Link{Delayed: true}, toWorkers)
+		s.setLinks(Link{Withheld: true}, Link{Withheld: true}, toWorkers)
 	case resetZone:
 		s.note("zone %s: all connections to its prep workers are reset", faults.zone)
 		s.setLinks(Link{Cut: true}, Link{Cut: true}, toWorkers)
 	default:
 		s.note("zone %s: the responses of its prep workers are withheld", faults.zone)
-		s.setLinks(Link{}, Link{Delayed: true}, toWorkers)
+		s.setLinks(Link{}, Link{Withheld: true}, toWorkers)
 	}
-	undo := s.injectSecondFault(faults.second, faults.node, faults.zone, spared)
+	undo := s.injectSecondFault(faults.secondFault, faults.node, faults.zone, spared)
 	return spared, func() {
 		s.note("zone %s: the links to its prep workers work again", faults.zone)
 		s.setLinks(Link{}, Link{}, toWorkers)
@@ -132,7 +132,7 @@
 			return true
 		}
 	}
-	s.countRequests(faults.zone)
+	s.recordRequests(faults.zone)
 	if !waitFor(s.plan.QuietBefore) {
 		return faults.zone, nil
 	}
@@ -150,7 +150,7 @@
 	killLeader
 	partitionVoter
 	partitionHealthyZone
-	secondFaults // number of kinds, with none
+	numSecondFaults // number of kinds, with none
 )
 
 // injectSecondFault injects a fault at a process or a link during the zone failure. undo reverts it.
@@ -208,7 +208,7 @@
 	}
 	s.note("%s, and no other node, is partitioned from the prep workers of the healthy zone %s", node.Name, other)
 	match := func(from, to string) bool { return from == node.Name && strings.HasPrefix(to, "w-"+other) }
-	s.setLinks(Link{Delayed: true}, Link{Delayed: true}, match)
+	s.setLinks(Link{Withheld: true}, Link{Withheld: true}, match)
 	return func() { s.setLinks(Link{}, Link{}, match) }
 }
 
@@ -224,7 +224,7 @@
 	}
 	outgoing := func(from, to string) bool { return from == own && strings.HasPrefix(to, "v") }
 	incoming := func(from, to string) bool { return to == own && strings.HasPrefix(from, "v") }
-	s.setLinks(Link{Delayed: true}, Link{}, outgoing)
+	s.setLinks(Link{Withheld: true}, Link{}, outgoing)
 	s.setLinks(Link{Delay: 100 * time.Millisecond}, Link{Delay: 100 * time.Millisecond}, incoming)
 	return func() {
 		s.setLinks(Link{}, Link{}, outgoing)
@@ -323,11 +323,11 @@
 func auditEpochs(observations []observation, violate violationFunc) {
 	epochs := map[string]uint64{}
 	for _, o := range observations {
-		run := fmt.Sprintf("%s after start %d", o.voter, o.runs)
-		if o.table.Epoch < epochs[run] {
-			violate("%s: the table went back from epoch %d to %d", run, epochs[run], o.table.Epoch)
+		voterRun := fmt.Sprintf("%s after start %d", o.voter, o.starts)
+		if o.table.Epoch < epochs[voterRun] {
+			violate("%s: the table went back from epoch %d to %d", voterRun, epochs[voterRun], o.table.Epoch)
 		}
-		epochs[run] = o.table.Epoch
+		epochs[voterRun] = o.table.Epoch
 	}
 }
 
--- a/internal/testkit/fakeplatform/worker.go
+++ b/internal/testkit/fakeplatform/worker.go
@@ -85,7 +85,7 @@
 	freeSlots *semaphore.Weighted // acquired in the order of arrival
 	waiting   int                 // jobs in the queue
 	used      float64             // slots of running jobs
-	begun     map[string]int      // starts by Req-Id without the attempt number
+	starts    map[string]int      // starts by Req-Id without the attempt number
 	received  int
 	served    int
 	busy      time.Duration // run time multiplied by slots
@@ -93,7 +93,7 @@
 
 // NewWorker creates a worker that does not listen before Start.
 func NewWorker(name string, slots int, script Script) *Worker {
-	return &Worker{Name: name, Slots: slots, script: script, freeSlots: semaphore.NewWeighted(int64(slots)), begun: map[string]int{}}
+	return &Worker{Name: name, Slots: slots, script: script, freeSlots: semaphore.NewWeighted(int64(slots)), starts: map[string]int{}}
 }
 
 // Start makes the worker listen, at the address of its previous start if there was one.
@@ -132,7 +132,11 @@
 func (w *Worker) SetScript(s Script) { w.mu.Lock(); w.script = s; w.mu.Unlock() }
 
 // Begun returns how often each job was started. The attempts of a job of the batch API count as one job.
-func (w *Worker) Begun() map[string]int { w.mu.Lock(); defer w.mu.Unlock(); return maps.Clone(w.begun) }
+func (w *Worker) Begun() map[string]int {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return maps.Clone(w.starts)
+}
 
 // Totals returns how many jobs arrived, how many were served, and the sum of run time multiplied by slots.
 func (w *Worker) Totals() (received, served int, busy time.Duration) {
@@ -210,7 +214,7 @@
 	}
 	defer w.releaseSlots(slots, time.Now())
 	w.mu.Lock()
-	w.begun[BaseID(job.ID)]++
+	w.starts[BaseID(job.ID)]++
 	w.mu.Unlock()
 	send(map[string]any{"state": "started"})
 	if act.Kind == Hang {
--- a/internal/testkit/loadgen/load_test.go
+++ b/internal/testkit/loadgen/load_test.go
@@ -26,7 +26,7 @@
 
 // Guards against coordinated omission: while a server stalls, the later requests must still be sent on time, and their
 // latencies must include the stall.
-func TestStallsCount(t *testing.T) {
+func TestRun_latencyIncludesStalls(t *testing.T) {
 	var received atomic.Int32
 	allReceived := make(chan struct{})
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/testkit/scriptedpeer/scenario.go
+++ b/internal/testkit/scriptedpeer/scenario.go
@@ -153,7 +153,7 @@
 // Errors of a scenario's steps.
 var (
 	errNoConnection   = errors.New("no connection of this name was dialed or accepted")
-	errNoVerb         = errors.New("unknown verb")
+	errUnknownVerb    = errors.New("unknown verb")
 	errNoService      = errors.New("no fake service of this name listens")
 	errStillOpen      = errors.New("the other side has not closed the connection in time")
 	errConditionUnmet = errors.New("the kernel's connection did not reach the expected state in time")
@@ -188,7 +188,7 @@
 	case "keep":
 		return s.keep(c, argument)
 	}
-	return c.step(verb)
+	return c.runVerb(verb)
 }
 
 // keep reads until a text has arrived and assigns what follows it, up to the next quotation mark, to a variable.
@@ -202,8 +202,8 @@
 	return err
 }
 
-// step runs a verb that has no argument.
-func (c *conn) step(verb string) error {
+// runVerb runs a verb that has no argument.
+func (c *conn) runVerb(verb string) error {
 	switch verb {
 	case "arrives":
 		return c.awaitKernel(func(unacknowledged int, _ uint8) bool { return unacknowledged == 0 })
@@ -227,7 +227,7 @@
 	case "close":
 		return c.Close()
 	}
-	return errNoVerb
+	return errUnknownVerb
 }
 
 // connect dials a service or accepts a connection to it, depending on the verb.
