--- a/internal/testkit/endtoend/evacuation.go
+++ b/internal/testkit/endtoend/evacuation.go
@@ -31,7 +31,7 @@
 type nodeStatus struct {
 	epoch        uint64
 	led          bool // the process follows the commands of a leader
-	leaseChanges int  // leases gained or lost since its start
+	leaseChanges int  // number of leases gained or lost
 	evacuated    bool // the failing zone is evacuated, and this process gives it no share
 }
 
@@ -196,7 +196,7 @@
 	return float64(sent) <= maxUnledRequests*float64(all)
 }
 
-// judgedNodes returns the nodes at which no fault was injected.
+// judgedNodes returns the nodes that the faults neither freeze nor kill.
 func (e *evacuation) judgedNodes() (out []*Process) {
 	for _, node := range e.nodes {
 		if !e.spared[node.Name] {
--- a/internal/testkit/endtoend/proxy.go
+++ b/internal/testkit/endtoend/proxy.go
@@ -176,7 +176,7 @@
 	return fragments
 }
 
-// recordOutgoing records the sending of a fragment and the IDs of the requests that it completes.
+// recordOutgoing records that From sent a fragment, and the request IDs in the header fields that the fragment completes.
 func (p *Proxy) recordOutgoing(ids []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/testkit/endtoend/trial.go
+++ b/internal/testkit/endtoend/trial.go
@@ -313,7 +313,7 @@
 }
 
 // value returns the total value of the requests sent from one time to another, and that of those which were served
-// within their latency target. Requests to the spared processes, at which a fault was injected, do not count.
+// within their latency target. Requests to the spared processes, which a fault froze or killed, do not count.
 func (s *trial) value(from, to time.Duration, spared map[string]bool) (asked, served float64) {
 	byName := map[string]fakeplatform.Class{}
 	for _, c := range classes {
--- a/internal/testkit/endtoend/zone_failure.go
+++ b/internal/testkit/endtoend/zone_failure.go
@@ -97,8 +97,8 @@
 	return func(_, to string) bool { return strings.HasPrefix(to, "w-"+zone) }
 }
 
-// beginFaults injects the zone failure and the second fault. end reverts both. The spared processes are those at which a
-// fault was injected: their clients and the requests that they send are left out of the checks.
+// beginFaults injects the zone failure and the second fault. end reverts both. The spared processes are the
+// nodes that the second fault freezes or kills: their clients and the requests that they send are left out of the checks.
 func (s *trial) beginFaults(faults zoneFaults) (spared map[string]bool, end func()) {
 	spared = map[string]bool{}
 	toWorkers := toWorkersOf(faults.zone)
@@ -364,7 +364,7 @@
 }
 
 // auditEvacuation checks that the failed zone alone was evacuated, that nothing was sent to it meanwhile, and that it took
-// its full share again after the fault.
+// its full share again after the fault. It need not be evacuated if almost nothing was sent to it anyway.
 func (s *trial) auditEvacuation(report *Report, observations []observation, failed string, spared map[string]bool, violate violationFunc) {
 	var evacuatedAt, probedAt, returnedAt time.Duration
 	for _, o := range observations {
--- a/internal/testkit/fakeplatform/fleet.go
+++ b/internal/testkit/fakeplatform/fleet.go
@@ -29,7 +29,7 @@
 	mu          sync.Mutex
 	list        []Endpoint
 	index       uint64        // of the list; rises with each change
-	changed     chan struct{} // closed and replaced at each change
+	changed     chan struct{} // closed and replaced when the list or the availability changes
 	unavailable bool
 	rejected    int
 	server      *http.Server
