--- a/internal/testkit/endtoend/evacuation.go
+++ b/internal/testkit/endtoend/evacuation.go
@@ -30,7 +30,7 @@
 // nodeStatus is the part of a process's fleet status that the trial uses.
 type nodeStatus struct {
 	epoch        uint64
-	led          bool // the process follows the commands of a leader
+	led          bool // the process has a lease from the leader
 	leaseChanges int  // number of leases gained or lost
 	evacuated    bool // the failing zone is evacuated, and this process gives it no share
 }
