--- a/cmd/ospreybend/batch_faults_test.go
+++ b/cmd/ospreybend/batch_faults_test.go
@@ -49,7 +49,7 @@
 	if _, err := s.WaitArray(t.Context(), a.ID); err != nil {
 		t.Fatal(err)
 	}
-	begun := node.fleet.Begun()
+	begun := node.fleet.StartCounts()
 	for j, err := range s.Jobs(t.Context(), drmaa.Filter{Array: a.ID}) {
 		if err != nil {
 			t.Fatal(err)
@@ -68,7 +68,7 @@
 // A worker stops abruptly with bookings and idempotent jobs in flight, and restarts. The idempotent jobs must be retried
 // on another worker, no booking may begin twice, and all jobs must reach a final state.
 func TestBatch_workerVanishesAndReturns(t *testing.T) {
-	node := newTestNode(t, fakeplatform.For(50*time.Millisecond))
+	node := newTestNode(t, fakeplatform.FixedRunTime(50*time.Millisecond))
 	s := newSession(t, node)
 	var arrays []*drmaa.Array
 	for _, class := range []string{"auftrag-buchen", "vorschau"} {
@@ -84,7 +84,7 @@
 		if err := fakeplatform.WaitUntil(t.Context(), time.Second, func() bool { now, _, _ := worker.Totals(); return now > before }); err != nil {
 			break // the arrays have ended
 		}
-		worker.Vanish()
+		worker.Crash()
 		if err := worker.Start(); err != nil {
 			t.Fatal(err)
 		}
@@ -101,7 +101,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if n := node.fleet.Begun()[j.ID]; i == 0 && (n > 1 || j.State == drmaa.Failed && !j.MayHaveRun || j.State == drmaa.Done && n != 1) {
+			if n := node.fleet.StartCounts()[j.ID]; i == 0 && (n > 1 || j.State == drmaa.Failed && !j.MayHaveRun || j.State == drmaa.Done && n != 1) {
 				t.Errorf("booking %s: state %s (%s), may have run %v, began %d times; want at most one start, exactly one if DONE, and FAILED only if it may have run",
 					j.ID, j.State, j.SubState, j.MayHaveRun, n)
 			}
@@ -111,7 +111,7 @@
 
 // A wait that is pending when the node shuts down is answered with TryLater; the job stays in the store of record.
 func TestBatch_waitDuringShutdown(t *testing.T) {
-	node := newTestNode(t, fakeplatform.For(time.Millisecond))
+	node := newTestNode(t, fakeplatform.FixedRunTime(time.Millisecond))
 	s := newSession(t, node, client.WithMaxAttempts(1))
 	j, err := s.Run(t.Context(), drmaa.JobTemplate{RemoteCommand: "vorschau", SubmitAsHold: true})
 	if err != nil {
--- a/cmd/ospreybend/cli_test.go
+++ b/cmd/ospreybend/cli_test.go
@@ -38,7 +38,7 @@
 
 // The program's own server passes every case of the conformance suite.
 func TestBatch_conforms(t *testing.T) {
-	node := newTestNode(t, fakeplatform.For(5*time.Millisecond))
+	node := newTestNode(t, fakeplatform.FixedRunTime(5*time.Millisecond))
 	tenant, err := node.admin.CreateTenant(t.Context(), "conform", 30_000)
 	if err != nil {
 		t.Fatal(err)
@@ -48,8 +48,8 @@
 			t.Errorf("case %s failed: %s; required: %s", result.Name, result.Fault, result.Demand)
 		}
 	})
-	if err != nil || report.Passed != conformance.Cases() {
-		t.Errorf("%d of %d conformance cases passed, error %v", report.Passed, conformance.Cases(), err)
+	if err != nil || report.Passed != conformance.NumCases() {
+		t.Errorf("%d of %d conformance cases passed, error %v", report.Passed, conformance.NumCases(), err)
 	}
 }
 
@@ -185,7 +185,7 @@
 
 // A reload applies a changed window size and administration token. An invalid file changes nothing.
 func TestBatchAPI_reload(t *testing.T) {
-	node := newTestNode(t, fakeplatform.For(time.Millisecond))
+	node := newTestNode(t, fakeplatform.FixedRunTime(time.Millisecond))
 	path := filepath.Join(t.TempDir(), "batch.toml")
 	env := func(key string) string { return map[string]string{"OSPREYBEND_BATCH": path}[key] }
 	write := func(extra string) {
--- a/cmd/ospreybend/descriptors_test.go
+++ b/cmd/ospreybend/descriptors_test.go
@@ -58,7 +58,7 @@
 		}
 		_, _ = io.Copy(io.Discard, response.Body)
 		for _, w := range fleet.Workers {
-			if w.Begun()[fmt.Sprint("i", requests)] > 0 {
+			if w.StartCounts()[fmt.Sprint("i", requests)] > 0 {
 				worker = w.Name
 			}
 		}
@@ -98,7 +98,7 @@
 		}
 	}
 	waitForRejections(fleet.Discovery.Rejected() + 2) // discovery calls still get descriptors, taken from idle clients
-	fleet.Drain(fleet.Workers[0], true)
+	fleet.SetDraining(fleet.Workers[0], true)
 	fleet.Discovery.SetUnavailable(false)
 	availableSince, elsewhere := time.Now(), 0
 	for elsewhere < 30 {
--- a/cmd/ospreybend/hot_restart_test.go
+++ b/cmd/ospreybend/hot_restart_test.go
@@ -102,7 +102,7 @@
 	config := s.loadConfig(prefix, rate, duration)
 	config.MaxPending, config.DialTimeout = maxPendingJobs, conditionTimeout
 	for i := range config.Classes {
-		config.Classes[i].Within = conditionTimeout
+		config.Classes[i].Deadline = conditionTimeout
 	}
 	return config
 }
@@ -159,8 +159,8 @@
 // disabled must stay disabled after SIGHUP and in the next process, an override given to one process must apply to both,
 // and a worker that is enabled again must get jobs. The last process must have taken over the peers' address.
 func TestHotRestart_underLoad(t *testing.T) {
-	s := newRestartTest(t, 1024, fakeplatform.For(20*time.Millisecond))
-	begunByDisabledWorker := func() int { return len(s.fleet.Workers[0].Begun()) }
+	s := newRestartTest(t, 1024, fakeplatform.FixedRunTime(20*time.Millisecond))
+	begunByDisabledWorker := func() int { return len(s.fleet.Workers[0].StartCounts()) }
 	result := make(chan *loadgen.Result, 1)
 	var pending pendingJobs
 	runLoad := func(prefix string, duration time.Duration) {
@@ -174,7 +174,7 @@
 	}
 	first := s.startProcess()
 	go runLoad("u", 4*time.Second)
-	s.waitUntil("jobs on worker w-1 and 50 jobs in total", func() bool { return begunByDisabledWorker() > 0 && len(s.fleet.Begun()) > 50 })
+	s.waitUntil("jobs on worker w-1 and 50 jobs in total", func() bool { return begunByDisabledWorker() > 0 && len(s.fleet.StartCounts()) > 50 })
 	s.override(first, "disable", "w-1")
 	before := pending.snapshot()
 	s.waitUntil("responses to the requests sent before the override", func() bool { return pending.allAnswered(before) })
@@ -256,7 +256,7 @@
 	send("half", request("auftrag-buchen", "half")[:40])
 	send("gone", request("vorschau", "gone"))
 	send("ahead", request("vorschau", "first")+request("auftrag-buchen", "second"))
-	s.waitUntil("4 jobs to begin", func() bool { return len(s.fleet.Begun()) == 4 })
+	s.waitUntil("4 jobs to begin", func() bool { return len(s.fleet.StartCounts()) == 4 })
 	next := s.startProcess()
 	s.shutDown(old)
 	if log := s.log(); !strings.Contains(log, "shutting down: handed over") || strings.Contains(log, "some clients have not closed") {
@@ -286,7 +286,7 @@
 // administration servers of both must answer.
 func TestHotRestart_processesShareLimits(t *testing.T) {
 	const limit = 192
-	s := newRestartTest(t, limit, fakeplatform.For(time.Millisecond))
+	s := newRestartTest(t, limit, fakeplatform.FixedRunTime(time.Millisecond))
 	openOne := func() { _, _ = io.WriteString(s.dial("idle"), "GET /healthz HTTP/1.1\r\n\r\n") }
 	openIdle := func() {
 		for range 150 {
@@ -333,7 +333,7 @@
 			t.Errorf("start with inherited descriptor %q: error %v, want one that names BALANCER_INHERITED_FD", fd, err)
 		}
 	}
-	s := newRestartTest(t, 1024, fakeplatform.For(time.Millisecond))
+	s := newRestartTest(t, 1024, fakeplatform.FixedRunTime(time.Millisecond))
 	if err := os.WriteFile(filepath.Join(s.dir, "tmp"), nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/ospreybend/measure_shutdown.go
+++ b/cmd/ospreybend/measure_shutdown.go
@@ -56,7 +56,7 @@
 
 // Run measures the shutdown and returns an error if a request was lost or the process took too long.
 func (c *measureShutdown) Run(env *cli.Env) error {
-	fleet, err := fakeplatform.NewFleet(demoZone, demoKind, shutdownWorkers, shutdownSlots, fakeplatform.For(c.JobRun))
+	fleet, err := fakeplatform.NewFleet(demoZone, demoKind, shutdownWorkers, shutdownSlots, fakeplatform.FixedRunTime(c.JobRun))
 	if err != nil {
 		return err
 	}
@@ -137,7 +137,7 @@
 	err := node.shutdown()
 	result.Took = milliseconds(time.Since(began))
 	clients.Wait()
-	begun := fleet.Begun()
+	begun := fleet.StartCounts()
 	for _, id := range unreadIDs {
 		result.RanUnread += begun[id]
 	}
--- a/cmd/ospreybend/measure_upgrade.go
+++ b/cmd/ospreybend/measure_upgrade.go
@@ -36,7 +36,7 @@
 
 // Run loads the node during all hot restarts and returns an error if a job was not served or began more than once.
 func (c *measureUpgrade) Run(env *cli.Env) error {
-	testbed, err := newRestartTestbed(4, 16, 1024, fakeplatform.For(c.JobRun))
+	testbed, err := newRestartTestbed(4, 16, 1024, fakeplatform.FixedRunTime(c.JobRun))
 	if err != nil {
 		return err
 	}
--- a/cmd/ospreybend/refused_calls_test.go
+++ b/cmd/ospreybend/refused_calls_test.go
@@ -67,7 +67,7 @@
 // A node must start, serve, reload its configuration and shut down gracefully if the platform denies executing programs,
 // Unix sockets, io_uring, splice and sendfile.
 func TestNode_refusedSystemCalls(t *testing.T) {
-	s := newRestartTest(t, 1024, fakeplatform.For(5*time.Millisecond))
+	s := newRestartTest(t, 1024, fakeplatform.FixedRunTime(5*time.Millisecond))
 	t.Setenv(denySystemCallsEnv, "1")
 	p := s.startProcess()
 	if err := p.cmd.Process.Signal(syscall.SIGHUP); err != nil {
--- a/internal/testkit/conformance/cases.go
+++ b/internal/testkit/conformance/cases.go
@@ -12,7 +12,7 @@
 )
 
 // Cases returns the number of test cases in the suite.
-func Cases() int { return len(cases()) }
+func NumCases() int { return len(cases()) }
 
 func cases() []testCase {
 	all := slices.Concat(managerCases, sessionCases, templateCases, jobCases, arrayCases, waitCases, listCases, eventCases, monitoringCases)
--- a/internal/testkit/fakemodelworker/worker.go
+++ b/internal/testkit/fakemodelworker/worker.go
@@ -50,7 +50,7 @@
 	Address     string        // "ip:port" to listen on
 	Slots       int           // requests at once; more are rejected
 	Control     []string      // control addresses of the fleet, tried in turn
-	Heartbeat   time.Duration // interval of the heartbeats
+	HeartbeatInterval   time.Duration // interval of the heartbeats
 	PrefillRate float64       // prompt tokens a millisecond; 0: prefills take no time
 	TokenTime   time.Duration // interval between two tokens
 	PlainTime   time.Duration // how long a request of a plain service takes
--- a/internal/testkit/fakeplatform/worker.go
+++ b/internal/testkit/fakeplatform/worker.go
@@ -71,7 +71,7 @@
 type Script func(Job) Act
 
 // For returns a script that serves every job and runs it for the given time.
-func For(run time.Duration) Script { return func(Job) Act { return Act{Run: run} } }
+func FixedRunTime(run time.Duration) Script { return func(Job) Act { return Act{Run: run} } }
 
 // Worker is a fake prep worker with a number of slots and a FIFO queue.
 type Worker struct {
@@ -118,7 +118,7 @@
 func (w *Worker) Address() string { w.mu.Lock(); defer w.mu.Unlock(); return w.address }
 
 // Vanish stops the worker as a crash would: its connections break, and its running jobs are lost. Start restarts it.
-func (w *Worker) Vanish() {
+func (w *Worker) Crash() {
 	w.mu.Lock()
 	s := w.server
 	w.server = nil
@@ -132,7 +132,7 @@
 func (w *Worker) SetScript(s Script) { w.mu.Lock(); w.script = s; w.mu.Unlock() }
 
 // Begun returns how often each job was started. The attempts of a job of the batch API count as one job.
-func (w *Worker) Begun() map[string]int {
+func (w *Worker) StartCounts() map[string]int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return maps.Clone(w.starts)
