--- a/cmd/inference-router/demo.go
+++ b/cmd/inference-router/demo.go
@@ -115,7 +115,7 @@
 	for i := range demoWorkers + 1 {
 		options := fakemodelworker.Options{ID: fmt.Sprintf("worker-%d", i+1), Zone: localfleet.Zone(i), Service: "model",
 			Stage: []string{"prefill", "decode"}[i%2], Address: d.fleet.Worker(i), Slots: demoSlots, Control: d.fleet.Control(),
-			Heartbeat: time.Second, PrefillRate: 40, TokenTime: 6 * time.Millisecond, PlainTime: 30 * time.Millisecond, Handles: &d.handles}
+			HeartbeatInterval: time.Second, PrefillRate: 40, TokenTime: 6 * time.Millisecond, PlainTime: 30 * time.Millisecond, Handles: &d.handles}
 		if i == demoWorkers {
 			options.Service, options.Stage = "store", ""
 		}
--- a/cmd/ospreybend/batch_faults_test.go
+++ b/cmd/ospreybend/batch_faults_test.go
@@ -49,7 +49,7 @@
 	if _, err := s.WaitArray(t.Context(), a.ID); err != nil {
 		t.Fatal(err)
 	}
-	begun := r.fleet.Begun()
+	begun := r.fleet.StartCounts()
 	for j, err := range s.Jobs(t.Context(), drmaa.Filter{Array: a.ID}) {
 		if err != nil {
 			t.Fatal(err)
@@ -68,7 +68,7 @@
 // A prep worker vanishes with bookings and idempotent jobs in flight, and returns: the idempotent jobs are retried
 // elsewhere, no booking begins twice, and all jobs end.
 func TestBatch_workerVanishesAndReturns(t *testing.T) {
-	r := newTestNode(t, fakeplatform.For(50*time.Millisecond))
+	r := newTestNode(t, fakeplatform.FixedRunTime(50*time.Millisecond))
 	s := newSession(t, r)
 	var arrays []*drmaa.Array
 	for _, class := range []string{"auftrag-buchen", "vorschau"} {
@@ -84,7 +84,7 @@
 		if err := fakeplatform.WaitUntil(t.Context(), time.Second, func() bool { now, _, _ := gone.Totals(); return now > came }); err != nil {
 			break // the arrays have ended
 		}
-		gone.Vanish()
+		gone.Crash()
 		if err := gone.Start(); err != nil {
 			t.Fatal(err)
 		}
@@ -101,7 +101,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if n := r.fleet.Begun()[j.ID]; i == 0 && (n > 1 || j.State == drmaa.Failed && !j.MayHaveRun || j.State == drmaa.Done && n != 1) {
+			if n := r.fleet.StartCounts()[j.ID]; i == 0 && (n > 1 || j.State == drmaa.Failed && !j.MayHaveRun || j.State == drmaa.Done && n != 1) {
 				t.Errorf("booking %s is %s (%s), begun %d times", j.ID, j.State, j.SubState, n)
 			}
 		}
@@ -110,7 +110,7 @@
 
 // A wait that is pending when the node shuts down is answered with TryLater; the job stays in the store of record.
 func TestBatch_waitDuringShutdown(t *testing.T) {
-	r := newTestNode(t, fakeplatform.For(time.Millisecond))
+	r := newTestNode(t, fakeplatform.FixedRunTime(time.Millisecond))
 	s := newSession(t, r, client.WithMaxAttempts(1))
 	j, err := s.Run(t.Context(), drmaa.JobTemplate{RemoteCommand: "vorschau", SubmitAsHold: true})
 	if err != nil {
--- a/cmd/ospreybend/cli_test.go
+++ b/cmd/ospreybend/cli_test.go
@@ -38,7 +38,7 @@
 
 // The program's own server passes every case of the conformance suite.
 func TestBatch_conforms(t *testing.T) {
-	r := newTestNode(t, fakeplatform.For(5*time.Millisecond))
+	r := newTestNode(t, fakeplatform.FixedRunTime(5*time.Millisecond))
 	tenant, err := r.admin.Create(t.Context(), "conform", 30_000)
 	if err != nil {
 		t.Fatal(err)
@@ -48,8 +48,8 @@
 			t.Errorf("%s: %s (%s)", got.Name, got.Fault, got.Demand)
 		}
 	})
-	if err != nil || report.Passed != conformance.Cases() {
-		t.Errorf("%d of %d cases passed, %v", report.Passed, conformance.Cases(), err)
+	if err != nil || report.Passed != conformance.NumCases() {
+		t.Errorf("%d of %d cases passed, %v", report.Passed, conformance.NumCases(), err)
 	}
 }
 
@@ -184,7 +184,7 @@
 
 // A reload applies the window and the administration's token. An invalid file changes nothing.
 func TestBatchFront_reload(t *testing.T) {
-	r := newTestNode(t, fakeplatform.For(time.Millisecond))
+	r := newTestNode(t, fakeplatform.FixedRunTime(time.Millisecond))
 	path := filepath.Join(t.TempDir(), "batch.toml")
 	env := func(key string) string { return map[string]string{"OSPREYBEND_BATCH": path}[key] }
 	write := func(rest string) {
--- a/cmd/ospreybend/descriptors_test.go
+++ b/cmd/ospreybend/descriptors_test.go
@@ -57,7 +57,7 @@
 		}
 		_, _ = io.Copy(io.Discard, answer.Body)
 		for _, w := range fleet.Workers {
-			if w.Begun()[fmt.Sprint("i", asked)] > 0 {
+			if w.StartCounts()[fmt.Sprint("i", asked)] > 0 {
 				worker = w.Name
 			}
 		}
@@ -97,7 +97,7 @@
 		}
 	}
 	refused(fleet.Discovery.Rejected() + 2) // it finds a descriptor for its calls among those of the idle clients
-	fleet.Drain(fleet.Workers[0], true)
+	fleet.SetDraining(fleet.Workers[0], true)
 	fleet.Discovery.SetUnavailable(false)
 	back, other := time.Now(), 0
 	for other < 30 {
--- a/cmd/ospreybend/hot_restart_test.go
+++ b/cmd/ospreybend/hot_restart_test.go
@@ -101,7 +101,7 @@
 	config := s.load(prefix, rate, span)
 	config.MaxPending, config.DialTimeout = maxPendingJobs, conditionTimeout
 	for i := range config.Classes {
-		config.Classes[i].Within = conditionTimeout
+		config.Classes[i].Deadline = conditionTimeout
 	}
 	return config
 }
@@ -158,8 +158,8 @@
 // disabled over SIGHUP and in the next process, an override given to either process applies to both, and an enabled
 // worker gets jobs again. What the processes share, such as the address for peers, is handed over.
 func TestHotRestart_underLoad(t *testing.T) {
-	s := newRestartTest(t, 1024, fakeplatform.For(20*time.Millisecond))
-	begun := func() int { return len(s.fleet.Workers[0].Begun()) }
+	s := newRestartTest(t, 1024, fakeplatform.FixedRunTime(20*time.Millisecond))
+	begun := func() int { return len(s.fleet.Workers[0].StartCounts()) }
 	result := make(chan *loadgen.Result, 1)
 	var pending pendingJobs
 	run := func(prefix string, span time.Duration) {
@@ -172,7 +172,7 @@
 	}
 	a := s.startNext()
 	go run("u", 4*time.Second)
-	s.until("a load", func() bool { return begun() > 0 && len(s.fleet.Begun()) > 50 })
+	s.until("a load", func() bool { return begun() > 0 && len(s.fleet.StartCounts()) > 50 })
 	s.override(a, "disable", "w-1")
 	before := pending.now()
 	s.until("the end of the jobs that came before the override", func() bool { return pending.noneOf(before) })
@@ -254,7 +254,7 @@
 	send("half", request("auftrag-buchen", "half")[:40])
 	send("gone", request("vorschau", "gone"))
 	send("ahead", request("vorschau", "first")+request("auftrag-buchen", "second"))
-	s.until("jobs at work", func() bool { return len(s.fleet.Begun()) == 4 })
+	s.until("jobs at work", func() bool { return len(s.fleet.StartCounts()) == 4 })
 	b := s.startNext()
 	s.stopped(a)
 	if log := s.log(); !strings.Contains(log, "shutting down: handed over") || strings.Contains(log, "some clients have not closed") {
@@ -284,7 +284,7 @@
 // servers of both answer.
 func TestHotRestart_processesShareLimits(t *testing.T) {
 	const limit = 192
-	s := newRestartTest(t, limit, fakeplatform.For(time.Millisecond))
+	s := newRestartTest(t, limit, fakeplatform.FixedRunTime(time.Millisecond))
 	openIdle := func() {
 		for range 150 {
 			_, _ = io.WriteString(s.dial("idle"), "GET /healthz HTTP/1.1\r\n\r\n")
@@ -322,7 +322,7 @@
 			t.Errorf("descriptor %s: %v", fd, err)
 		}
 	}
-	s := newRestartTest(t, 1024, fakeplatform.For(time.Millisecond))
+	s := newRestartTest(t, 1024, fakeplatform.FixedRunTime(time.Millisecond))
 	if err := os.WriteFile(filepath.Join(s.dir, "tmp"), nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/ospreybend/local_node.go
+++ b/cmd/ospreybend/local_node.go
@@ -51,8 +51,8 @@
 // platformClasses returns the load of the platform's clients in measurements.
 func platformClasses() []loadgen.Class {
 	return []loadgen.Class{
-		{Name: "modell-pruefen", Share: 0.8, Target: 400 * time.Millisecond, Within: 5 * time.Second},
-		{Name: "auftrag-buchen", Share: 0.2, Target: 800 * time.Millisecond, Within: 25 * time.Second},
+		{Name: "modell-pruefen", Share: 0.8, Target: 400 * time.Millisecond, Deadline: 5 * time.Second},
+		{Name: "auftrag-buchen", Share: 0.2, Target: 800 * time.Millisecond, Deadline: 25 * time.Second},
 	}
 }
 
--- a/cmd/ospreybend/measure_backlog.go
+++ b/cmd/ospreybend/measure_backlog.go
@@ -165,13 +165,13 @@
 	cpuBefore, began := r.node.cpuTime(), time.Now()
 	busyBefore, servedBefore := r.workerTotals()
 	got := loadgen.Run(ctx, loadgen.Config{
-		URL: r.node.platform, Rate: r.command.Load * slots / r.command.Request.Seconds(), For: r.command.For, Seed: seed,
+		URL: r.node.platform, Rate: r.command.Load * slots / r.command.Request.Seconds(), Duration: r.command.For, Seed: seed,
 		Prefix: strconv.FormatUint(seed, 10) + strconv.FormatBool(backlog) + "-", Classes: platformClasses(),
 	})
 	took, cpu := time.Since(began), r.node.cpuTime()-cpuBefore
 	busy, served := r.workerTotals()
 	return backlogPhase{
-		Backlog: backlog, Sent: got.Sent, Service: got.Service(), Refused: got.Refused, Other: got.Failed + got.Broken,
+		Backlog: backlog, Sent: got.Sent, Service: got.FractionWithinTarget(), Refused: got.Refused, Other: got.Failed + got.Broken,
 		P50: milliseconds(got.Percentile(50)), P99: milliseconds(got.Percentile(99)), P999: milliseconds(got.Percentile(99.9)),
 		CPU: float64(cpu.Microseconds()) / float64(max(got.Sent, 1)), cpu: cpu,
 		Jobs: served - servedBefore - got.Served,
--- a/cmd/ospreybend/measure_kill.go
+++ b/cmd/ospreybend/measure_kill.go
@@ -87,7 +87,7 @@
 		return audit, err
 	}
 	defer os.RemoveAll(dir)
-	fleet, err := fakeplatform.NewFleet(demoZone, demoKind, 2, 8, fakeplatform.For(c.JobRun))
+	fleet, err := fakeplatform.NewFleet(demoZone, demoKind, 2, 8, fakeplatform.FixedRunTime(c.JobRun))
 	if err != nil {
 		return audit, err
 	}
@@ -112,7 +112,7 @@
 	if err != nil {
 		return audit, err
 	}
-	audit.Acknowledged, audit.Begun = len(acknowledged), len(fleet.Begun())
+	audit.Acknowledged, audit.Begun = len(acknowledged), len(fleet.StartCounts())
 	if err := node.start(ctx); err != nil {
 		return audit, err
 	}
@@ -130,7 +130,7 @@
 		case err != nil:
 			return err
 		}
-		begun := fleet.Begun()[id]
+		begun := fleet.StartCounts()[id]
 		switch {
 		case job.State == drmaa.Done:
 			a.Done++
--- a/cmd/ospreybend/measure_kill_test.go
+++ b/cmd/ospreybend/measure_kill_test.go
@@ -26,7 +26,7 @@
 // startChild starts the program as a node among fake workers that take the given time for a job.
 func startChild(t *testing.T, workers, slots int, run time.Duration) (*fakeplatform.Fleet, *child) {
 	t.Helper()
-	fleet, err := fakeplatform.NewFleet(demoZone, demoKind, workers, slots, fakeplatform.For(run))
+	fleet, err := fakeplatform.NewFleet(demoZone, demoKind, workers, slots, fakeplatform.FixedRunTime(run))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -99,8 +99,8 @@
 		t.Fatal(err)
 	}
 	j, err := s.WaitAny(t.Context(), client.Terminated, "")
-	if err != nil || j.State != drmaa.Done || fleet.Begun()[j.ID] != 1 {
-		t.Errorf("%+v, begun %d times, %v", j, fleet.Begun()[j.ID], err)
+	if err != nil || j.State != drmaa.Done || fleet.StartCounts()[j.ID] != 1 {
+		t.Errorf("%+v, begun %d times, %v", j, fleet.StartCounts()[j.ID], err)
 	}
 }
 
--- a/cmd/ospreybend/measure_shutdown.go
+++ b/cmd/ospreybend/measure_shutdown.go
@@ -56,7 +56,7 @@
 
 // Run plays the shutdown and fails if a request was lost or the process took too long.
 func (c *measureShutdown) Run(env *cli.Env) error {
-	fleet, err := fakeplatform.NewFleet(demoZone, demoKind, shutdownWorkers, shutdownSlots, fakeplatform.For(c.JobRun))
+	fleet, err := fakeplatform.NewFleet(demoZone, demoKind, shutdownWorkers, shutdownSlots, fakeplatform.FixedRunTime(c.JobRun))
 	if err != nil {
 		return err
 	}
@@ -136,7 +136,7 @@
 	err := node.shutdown()
 	result.Took = milliseconds(time.Since(began))
 	all.Wait()
-	begun := fleet.Begun()
+	begun := fleet.StartCounts()
 	for _, id := range unreadIDs {
 		result.RanUnread += begun[id]
 	}
--- a/cmd/ospreybend/measure_stall.go
+++ b/cmd/ospreybend/measure_stall.go
@@ -75,7 +75,7 @@
 		return phase, err
 	}
 	defer os.RemoveAll(dir)
-	fleet, err := fakeplatform.NewFleet(demoZone, demoKind, 4, 8, fakeplatform.For(50*time.Millisecond))
+	fleet, err := fakeplatform.NewFleet(demoZone, demoKind, 4, 8, fakeplatform.FixedRunTime(50*time.Millisecond))
 	if err != nil {
 		return phase, err
 	}
@@ -109,7 +109,7 @@
 	var platform *loadgen.Result
 	var requests sync.WaitGroup
 	requests.Go(func() {
-		platform = loadgen.Run(ctx, loadgen.Config{URL: node.platform, Rate: c.Rate, For: c.For, Seed: 1, Prefix: "p-", Classes: platformClasses()})
+		platform = loadgen.Run(ctx, loadgen.Config{URL: node.platform, Rate: c.Rate, Duration: c.For, Seed: 1, Prefix: "p-", Classes: platformClasses()})
 	})
 	kills := c.Kill && phase.Stalled
 	if kills {
@@ -123,7 +123,7 @@
 			return nil, err
 		}
 	}
-	phase.Sent, phase.Service, phase.Refused = platform.Sent, platform.Service(), platform.Refused
+	phase.Sent, phase.Service, phase.Refused = platform.Sent, platform.FractionWithinTarget(), platform.Refused
 	phase.P99 = milliseconds(platform.Percentile(99))
 	return acknowledged, nil
 }
@@ -132,7 +132,7 @@
 func (p *stallPhase) audit(ctx context.Context, session *client.Session, fleet *fakeplatform.Fleet, acknowledged []string) error {
 	for _, id := range acknowledged {
 		job, err := session.Wait(ctx, id, client.Terminated)
-		begun := fleet.Begun()[id]
+		begun := fleet.StartCounts()[id]
 		switch {
 		case errors.Is(err, &drmaa.Error{Name: drmaa.InvalidArgument}) || begun > 1:
 			p.BegunTwiceOrLost++
--- a/cmd/ospreybend/measure_submit.go
+++ b/cmd/ospreybend/measure_submit.go
@@ -89,7 +89,7 @@
 		return err
 	}
 	defer os.RemoveAll(dir)
-	fleet, err := fakeplatform.NewFleet(demoZone, demoKind, 4, 16, fakeplatform.For(time.Millisecond))
+	fleet, err := fakeplatform.NewFleet(demoZone, demoKind, 4, 16, fakeplatform.FixedRunTime(time.Millisecond))
 	if err != nil {
 		return err
 	}
--- a/cmd/ospreybend/measure_trial.go
+++ b/cmd/ospreybend/measure_trial.go
@@ -71,8 +71,8 @@
 	}
 	return endtoend.Zone(ctx, endtoend.Plan{
 		Program: program, Env: []string{childEnv + "=1", "OSPREYBEND_BATCH=" + os.DevNull}, Dir: dir,
-		Seed: c.Seed, Alone: c.Alone, Without: c.Without, Rate: c.Rate,
-		QuietBefore: c.Calm, Faulty: c.Trouble, After: c.After,
+		Seed: c.Seed, NoVoters: c.Alone, DisabledCheck: c.Without, Rate: c.Rate,
+		DurationBefore: c.Calm, FaultDuration: c.Trouble, DurationAfter: c.After,
 	})
 }
 
--- a/cmd/ospreybend/measure_trial_test.go
+++ b/cmd/ospreybend/measure_trial_test.go
@@ -30,7 +30,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			const seed = 3
 			r, err := endtoend.Evacuation(t.Context(), endtoend.Plan{Program: program, Env: []string{childEnv + "=1", "OSPREYBEND_BATCH=" + os.DevNull},
-				Seed: seed, Alone: c.alone, ByHand: c.byHand, Without: c.without, Rate: 40, DialTimeout: time.Minute, Dir: t.TempDir()})
+				Seed: seed, NoVoters: c.alone, OperatorEvacuation: c.byHand, DisabledCheck: c.without, Rate: 40, DialTimeout: time.Minute, Dir: t.TempDir()})
 			if err != nil {
 				t.Fatalf("%v\n%v", err, r.Events)
 			}
--- a/cmd/ospreybend/measure_upgrade.go
+++ b/cmd/ospreybend/measure_upgrade.go
@@ -36,7 +36,7 @@
 
 // Run loads the node during all upgrades and fails if a job was not served, or begun twice.
 func (c *measureUpgrade) Run(env *cli.Env) error {
-	site, err := newRestartSite(4, 16, 1024, fakeplatform.For(c.JobRun))
+	site, err := newRestartSite(4, 16, 1024, fakeplatform.FixedRunTime(c.JobRun))
 	if err != nil {
 		return err
 	}
--- a/cmd/ospreybend/refused_calls_test.go
+++ b/cmd/ospreybend/refused_calls_test.go
@@ -66,7 +66,7 @@
 // A node starts, serves, reloads its configuration and shuts down gracefully where the platform refuses to execute
 // programs, Unix sockets and the rarer ways to copy bytes.
 func TestNode_refusedSystemCalls(t *testing.T) {
-	s := newRestartTest(t, 1024, fakeplatform.For(5*time.Millisecond))
+	s := newRestartTest(t, 1024, fakeplatform.FixedRunTime(5*time.Millisecond))
 	t.Setenv(refuseEnv, "1")
 	p := s.startNext()
 	if err := p.cmd.Process.Signal(syscall.SIGHUP); err != nil {
--- a/cmd/ospreybend/restart_site.go
+++ b/cmd/ospreybend/restart_site.go
@@ -143,15 +143,15 @@
 // load returns the configuration of a load on the clients' address.
 func (s *restartSite) load(prefix string, rate float64, span time.Duration) loadgen.Config {
 	class := func(name string) loadgen.Class {
-		return loadgen.Class{Name: name, Share: 0.5, Target: time.Second, Within: restartLoadDeadline}
+		return loadgen.Class{Name: name, Share: 0.5, Target: time.Second, Deadline: restartLoadDeadline}
 	}
-	return loadgen.Config{URL: "http://" + s.address, Rate: rate, For: span, Seed: 5, Prefix: prefix,
+	return loadgen.Config{URL: "http://" + s.address, Rate: rate, Duration: span, Seed: 5, Prefix: prefix,
 		Classes: []loadgen.Class{class("modell-pruefen"), class("auftrag-buchen")}}
 }
 
 // begunTwice returns how many jobs were begun more than once.
 func (s *restartSite) begunTwice() (n int) {
-	for _, times := range s.fleet.Begun() {
+	for _, times := range s.fleet.StartCounts() {
 		if times > 1 {
 			n++
 		}
--- a/cmd/ospreybend/shutdown_test.go
+++ b/cmd/ospreybend/shutdown_test.go
@@ -69,7 +69,7 @@
 	if _, err := io.WriteString(c, "POST /auftrag-buchen HTTP/1.1\r\nHost: a\r\nReq-Id: s1\r\nReq-Deadline: 3\r\nContent-Length: 2\r\n\r\nhi"); err != nil {
 		t.Fatal(err)
 	}
-	if err := fakeplatform.WaitUntil(t.Context(), 5*time.Second, func() bool { return fleet.Begun()["s1"] == 1 }); err != nil {
+	if err := fakeplatform.WaitUntil(t.Context(), 5*time.Second, func() bool { return fleet.StartCounts()["s1"] == 1 }); err != nil {
 		t.Fatal(err)
 	}
 	for _, s := range []syscall.Signal{syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM} {
--- a/internal/testkit/conformance/cases.go
+++ b/internal/testkit/conformance/cases.go
@@ -11,8 +11,8 @@
 	"ospreybend/drmaa/client"
 )
 
-// Cases returns the number of test cases in the suite.
-func Cases() int { return len(cases()) }
+// NumCases returns the number of test cases in the suite.
+func NumCases() int { return len(cases()) }
 
 func cases() []testCase {
 	all := slices.Concat(managerCases, sessionCases, templateCases, jobCases, arrayCases, waitCases, listCases, eventCases, monitoringCases)
--- a/internal/testkit/endtoend/evacuation.go
+++ b/internal/testkit/endtoend/evacuation.go
@@ -150,7 +150,7 @@
 
 // begin injects the faults, or has an operator evacuate the zone. end reverts either.
 func (e *evacuation) begin(ctx context.Context) (end func(), err error) {
-	if !e.plan.ByHand {
+	if !e.plan.OperatorEvacuation {
 		e.spared, end = e.beginFaults(e.faults)
 		return end, nil
 	}
@@ -171,10 +171,10 @@
 
 // seenEnough reports whether the trial has seen enough of the fault to end it.
 func (e *evacuation) seenEnough() bool {
-	if e.plan.Without != "" {
+	if e.plan.DisabledCheck != "" {
 		return len(e.sentDespiteEvacuation()) > 0
 	}
-	if e.plan.Alone {
+	if e.plan.NoVoters {
 		return e.answeredSince(e.faultStart) >= 2*requestsDuringFault
 	}
 	return e.answeredWithinEvacuations() >= requestsEvacuated || e.answeredSince(e.faultStart) >= 4*requestsDuringFault && e.barelyUsed()
--- a/internal/testkit/endtoend/trial.go
+++ b/internal/testkit/endtoend/trial.go
@@ -20,18 +20,18 @@
 
 // Plan describes a trial.
 type Plan struct {
-	Program     string   // the built program
-	Env         []string // additional environment of the processes
-	Seed        uint64
-	Alone       bool          // no voters: the same faults, with nodes that do not coordinate
-	Without     string        // name of a check of the protocol to disable; empty: none
-	ByHand      bool          // evacuation trials only: no faults, an operator evacuates a zone
-	QuietBefore time.Duration // without faults
-	Faulty      time.Duration
-	After       time.Duration // without faults
-	Rate        float64       // requests a second at each node
-	DialTimeout time.Duration // of the clients; 0: the load generator's default
-	Dir         string        // for the processes' files; the caller removes it
+	Program            string   // the built program
+	Env                []string // additional environment of the processes
+	Seed               uint64
+	NoVoters           bool          // no voters: the same faults, with nodes that do not coordinate
+	DisabledCheck      string        // name of a check of the protocol to disable; empty: none
+	OperatorEvacuation bool          // evacuation trials only: no faults, an operator evacuates a zone
+	DurationBefore     time.Duration // without faults
+	FaultDuration      time.Duration
+	DurationAfter      time.Duration // without faults
+	Rate               float64       // requests a second at each node
+	DialTimeout        time.Duration // of the clients; 0: the load generator's default
+	Dir                string        // for the processes' files; the caller removes it
 }
 
 // Report is the result of a trial.
@@ -101,14 +101,14 @@
 		client: transport.NewClient()}
 	for _, z := range zones {
 		for i := range workersPerZone {
-			w := fakeplatform.NewWorker("w-"+z+strconv.Itoa(i+1), slotsPerWorker, fakeplatform.For(jobRun))
+			w := fakeplatform.NewWorker("w-"+z+strconv.Itoa(i+1), slotsPerWorker, fakeplatform.FixedRunTime(jobRun))
 			if err := w.Start(); err != nil {
 				return s, err
 			}
 			s.workers[z] = append(s.workers[z], w)
 		}
 	}
-	if !plan.Alone {
+	if !plan.NoVoters {
 		for i, z := range zones {
 			address, err := fakeplatform.FreeAddress()
 			if err != nil {
@@ -158,7 +158,7 @@
 // this process uses. voter is the ID of a voter; 0: the process is a node.
 func (s *trial) prepare(process *Process, voter uint64) error {
 	var fleet strings.Builder
-	fmt.Fprintf(&fleet, "enabled = %v\nfleet = \"trial\"\nzone = %q\n", !s.plan.Alone, process.Zone)
+	fmt.Fprintf(&fleet, "enabled = %v\nfleet = \"trial\"\nzone = %q\n", !s.plan.NoVoters, process.Zone)
 	for i, v := range s.voters {
 		address := s.addresses[v.Name]
 		if v != process {
@@ -172,7 +172,7 @@
 	if voter > 0 {
 		fmt.Fprintf(&fleet, "[voter]\nid = %d\nstore = %q\n", voter, filepath.Join(s.plan.Dir, process.Name+".db"))
 	}
-	if s.plan.Alone {
+	if s.plan.NoVoters {
 		fleet.Reset()
 		fleet.WriteString("enabled = false\n")
 	}
@@ -190,7 +190,7 @@
 	}
 	path := func(kind string) string { return filepath.Join(s.plan.Dir, process.Name+"."+kind) }
 	process.env = append(append([]string{}, s.plan.Env...), "BALANCER_CONFIG="+path("json"), "OSPREYBEND_FLEET="+path("toml"),
-		"OSPREYBEND_WITHOUT="+s.plan.Without, "TMPDIR="+s.plan.Dir, "BALANCER_ADMIN="+s.admins[process.Name])
+		"OSPREYBEND_WITHOUT="+s.plan.DisabledCheck, "TMPDIR="+s.plan.Dir, "BALANCER_ADMIN="+s.admins[process.Name])
 	return errors.Join(os.WriteFile(path("json"), node, 0o600), os.WriteFile(path("toml"), []byte(fleet.String()), 0o600))
 }
 
@@ -248,7 +248,7 @@
 	}
 	for _, z := range zones {
 		for _, w := range s.workers[z] {
-			w.Vanish()
+			w.Crash()
 		}
 	}
 	for _, d := range s.discoveries {
@@ -272,10 +272,10 @@
 func (s *trial) load(ctx context.Context, span time.Duration, stop <-chan struct{}) {
 	var all sync.WaitGroup
 	for i, n := range s.nodes {
-		c := loadgen.Config{URL: "http://" + s.addresses[n.Name], Rate: s.plan.Rate, For: span, Seed: s.plan.Seed*100 + uint64(i), Prefix: n.Name + "x",
+		c := loadgen.Config{URL: "http://" + s.addresses[n.Name], Rate: s.plan.Rate, Duration: span, Seed: s.plan.Seed*100 + uint64(i), Prefix: n.Name + "x",
 			Stop: stop, DialTimeout: s.plan.DialTimeout, OnSend: s.recordSend}
 		for j, k := range classes {
-			c.Classes = append(c.Classes, loadgen.Class{Name: k.Name, Share: shares[j], Target: k.Target, Within: k.Timeout})
+			c.Classes = append(c.Classes, loadgen.Class{Name: k.Name, Share: shares[j], Target: k.Target, Deadline: k.Timeout})
 		}
 		c.OnResponse = func(at time.Duration, k *loadgen.Class, id string, status int, took time.Duration) {
 			ended := time.Now()
--- a/internal/testkit/endtoend/zone_failure.go
+++ b/internal/testkit/endtoend/zone_failure.go
@@ -42,7 +42,7 @@
 	}
 	r.Processes = len(s.nodes) + len(s.voters)
 	s.startedAt = time.Now()
-	span := plan.QuietBefore + plan.Faulty + plan.After
+	span := plan.DurationBefore + plan.FaultDuration + plan.DurationAfter
 	ctx, cancel := context.WithTimeout(ctx, span+10*time.Second)
 	defer cancel()
 	polled := make(chan []observation)
@@ -133,11 +133,11 @@
 		}
 	}
 	s.recordRequests(faults.zone)
-	if !waitFor(s.plan.QuietBefore) {
+	if !waitFor(s.plan.DurationBefore) {
 		return faults.zone, nil
 	}
 	spared, end := s.beginFaults(faults)
-	if waitFor(s.plan.QuietBefore + s.plan.Faulty) {
+	if waitFor(s.plan.DurationBefore + s.plan.FaultDuration) {
 		end()
 	}
 	return faults.zone, spared
@@ -302,7 +302,7 @@
 	begun := map[string]int{}
 	for _, z := range zones {
 		for _, w := range s.workers[z] {
-			for id, n := range w.Begun() {
+			for id, n := range w.StartCounts() {
 				begun[id] += n
 			}
 		}
@@ -339,10 +339,10 @@
 	if len(s.voters) > 0 {
 		s.auditEvacuation(report, observations, failed, spared, violate)
 	}
-	end := s.plan.QuietBefore + s.plan.Faulty + 8*time.Second
-	asked, served := s.value(s.plan.QuietBefore, end, spared)
+	end := s.plan.DurationBefore + s.plan.FaultDuration + 8*time.Second
+	asked, served := s.value(s.plan.DurationBefore, end, spared)
 	report.Figures["worth_lost"] = 1 - served/max(asked, 1)
-	all, ok := s.value(0, s.plan.QuietBefore+s.plan.Faulty+s.plan.After, spared)
+	all, ok := s.value(0, s.plan.DurationBefore+s.plan.FaultDuration+s.plan.DurationAfter, spared)
 	report.Figures["worth_lost_all_day"] = 1 - ok/max(all, 1)
 	report.Figures["requests"] = float64(len(s.requests))
 }
@@ -380,13 +380,13 @@
 			evacuatedAt = o.at
 		case evacuatedAt > 0 && probedAt == 0 && z.Phase != commands.PhaseEvacuated && o.leads:
 			probedAt = o.at
-		case probedAt > 0 && o.at > s.plan.QuietBefore+s.plan.Faulty && returnedAt == 0 && z.Phase == commands.PhaseActive && len(z.UnreachableFrom) == 0 && o.leads:
+		case probedAt > 0 && o.at > s.plan.DurationBefore+s.plan.FaultDuration && returnedAt == 0 && z.Phase == commands.PhaseActive && len(z.UnreachableFrom) == 0 && o.leads:
 			returnedAt = o.at
 		}
 	}
 	if evacuatedAt == 0 {
 		// If the nodes soon send almost nothing there of their own accord, the leader sees too few requests to evacuate the zone.
-		late := s.countSends(failed, spared, s.plan.QuietBefore+s.plan.Faulty/2, s.plan.QuietBefore+s.plan.Faulty)
+		late := s.countSends(failed, spared, s.plan.DurationBefore+s.plan.FaultDuration/2, s.plan.DurationBefore+s.plan.FaultDuration)
 		if report.Figures["sends_unled"] = float64(late); float64(late) > maxUnledFraction*float64(len(s.requests)) {
 			violate("zone %s was never evacuated, and %d fragments were sent there in the second half of its failure", failed, late)
 		}
@@ -395,17 +395,17 @@
 	if probedAt == 0 {
 		probedAt = s.elapsed()
 	}
-	report.Figures["left_after"] = (evacuatedAt - s.plan.QuietBefore).Seconds()
+	report.Figures["left_after"] = (evacuatedAt - s.plan.DurationBefore).Seconds()
 	// The end of the evacuation precedes the poll that shows it.
 	sends := s.countSends(failed, spared, evacuatedAt+maxEvacuationTime, probedAt-pollSlack)
 	report.Figures["sends_to_left"] = float64(sends)
 	if sends > 0 {
 		violate("%d fragments were sent to zone %s while it was evacuated", sends, failed)
 	}
-	healedAt := s.plan.QuietBefore + s.plan.Faulty
+	healedAt := s.plan.DurationBefore + s.plan.FaultDuration
 	if returnedAt > 0 {
 		report.Figures["back_after"] = (returnedAt - healedAt).Seconds()
-	} else if s.plan.After >= maxReturnTime {
-		violate("zone %s does not take its full share again within %v of the end of the fault", failed, s.plan.After)
+	} else if s.plan.DurationAfter >= maxReturnTime {
+		violate("zone %s does not take its full share again within %v of the end of the fault", failed, s.plan.DurationAfter)
 	}
 }
--- a/internal/testkit/fakemodelworker/register.go
+++ b/internal/testkit/fakemodelworker/register.go
@@ -49,7 +49,7 @@
 	}
 	current := 0 // index of the control address that is called
 	for sequence := 1; ctx.Err() == nil; sequence++ {
-		wait := w.options.Heartbeat
+		wait := w.options.HeartbeatInterval
 		err := w.call(ctx, httpClient, w.options.Control[current], "/-/Instances.Heartbeat/", w.heartbeat(sequence))
 		onHeartbeat(err)
 		if err != nil {
--- a/internal/testkit/fakeplatform/fleet.go
+++ b/internal/testkit/fakeplatform/fleet.go
@@ -129,12 +129,12 @@
 		}
 		f.Workers = append(f.Workers, w)
 	}
-	f.List()
+	f.PublishEndpoints()
 	return f, nil
 }
 
-// List publishes the endpoint list with the present state of the workers.
-func (f *Fleet) List() {
+// PublishEndpoints publishes the endpoint list with the present state of the workers.
+func (f *Fleet) PublishEndpoints() {
 	var list []Endpoint
 	for _, w := range f.Workers {
 		state := "Ready"
@@ -146,17 +146,17 @@
 	f.Discovery.Set(list)
 }
 
-// Drain lists a worker as draining, or as ready again.
-func (f *Fleet) Drain(w *Worker, draining bool) {
+// SetDraining lists a worker as draining, or as ready again.
+func (f *Fleet) SetDraining(w *Worker, draining bool) {
 	f.draining[w.Name] = draining
-	f.List()
+	f.PublishEndpoints()
 }
 
-// Begun returns how often each job was started, over all workers.
-func (f *Fleet) Begun() map[string]int {
+// StartCounts returns how often each job was started, over all workers.
+func (f *Fleet) StartCounts() map[string]int {
 	out := map[string]int{}
 	for _, w := range f.Workers {
-		for id, n := range w.Begun() {
+		for id, n := range w.StartCounts() {
 			out[id] += n
 		}
 	}
@@ -166,7 +166,7 @@
 // Stop stops the workers and the discovery service.
 func (f *Fleet) Stop() {
 	for _, w := range f.Workers {
-		w.Vanish()
+		w.Crash()
 	}
 	f.Discovery.Stop()
 }
--- a/internal/testkit/loadgen/load_test.go
+++ b/internal/testkit/loadgen/load_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestPlan(t *testing.T) {
-	c := Config{Rate: 1000, For: 10 * time.Second, Seed: 3, Classes: []Class{{Name: "a", Share: 0.8}, {Name: "b", Share: 0.2}}}
+	c := Config{Rate: 1000, Duration: 10 * time.Second, Seed: 3, Classes: []Class{{Name: "a", Share: 0.8}, {Name: "b", Share: 0.2}}}
 	arrivals, again := c.plan(), c.plan()
 	if !reflect.DeepEqual(arrivals, again) {
 		t.Errorf("two plans with seed %d differ", c.Seed)
@@ -39,12 +39,12 @@
 		}
 	}))
 	defer s.Close()
-	c := Config{URL: s.URL, Rate: 500, For: 100 * time.Millisecond, Classes: []Class{{Name: "a", Share: 1, Target: time.Nanosecond, Within: time.Second}}}
+	c := Config{URL: s.URL, Rate: 500, Duration: 100 * time.Millisecond, Classes: []Class{{Name: "a", Share: 1, Target: time.Nanosecond, Deadline: time.Second}}}
 	for len(c.plan()) != 50 {
 		c.Seed++
 	}
 	got := Run(t.Context(), c)
-	if got.Sent != 50 || got.Served != 50 || got.WithinTarget != 0 || got.Service() != 0 || got.Latency.TotalCount() != 50 {
+	if got.Sent != 50 || got.Served != 50 || got.WithinTarget != 0 || got.FractionWithinTarget() != 0 || got.Latency.TotalCount() != 50 {
 		t.Errorf("50 requests to a stalled server, with a target of 1 ns: got %+v, want all served and none within the target", got)
 	}
 	c.Classes[0].Name = "refused"
--- a/internal/testkit/localfleet/fleet_test.go
+++ b/internal/testkit/localfleet/fleet_test.go
@@ -87,7 +87,7 @@
 func (r *fleetTest) worker(i int, service string, tokenTime time.Duration) *fakemodelworker.Worker {
 	r.Helper()
 	options := fakemodelworker.Options{ID: fmt.Sprintf("worker-%d", i), Zone: localfleet.Zone(i), Service: service,
-		Address: r.fleet.Worker(i), Slots: 8, Control: r.fleet.Control(), Heartbeat: 300 * time.Millisecond,
+		Address: r.fleet.Worker(i), Slots: 8, Control: r.fleet.Control(), HeartbeatInterval: 300 * time.Millisecond,
 		TokenTime: tokenTime, Handles: new(fakemodelworker.Handles)}
 	if service == "model" {
 		options.Stage = "decode"
--- a/internal/testkit/scalerun/step.go
+++ b/internal/testkit/scalerun/step.go
@@ -202,7 +202,7 @@
 		at := i % s.plan.Servers
 		control := append(slices.Clone(s.fleet.Control()[at:]), s.fleet.Control()[:at]...)
 		options := fakemodelworker.Options{ID: fmt.Sprintf("worker-%d", i+1), Zone: localfleet.Zone(i), Service: modelService(i),
-			Stage: stageOf(i), Address: s.fleet.Worker(i), Slots: workerSlots, Control: control, Heartbeat: s.plan.Heartbeat}
+			Stage: stageOf(i), Address: s.fleet.Worker(i), Slots: workerSlots, Control: control, HeartbeatInterval: s.plan.Heartbeat}
 		first := true
 		s.workers.Go(func() {
 			fakemodelworker.Register(ctx, options, func(err error) {
--- a/internal/testkit/scalerun/traffic.go
+++ b/internal/testkit/scalerun/traffic.go
@@ -93,7 +93,7 @@
 		}
 		_, err := fakemodelworker.Start(ctx, fakemodelworker.Options{ID: fmt.Sprintf("worker-%d", i+1), Zone: localfleet.Zone(i),
 			Service: modelService(0), Stage: stage, Address: l.fleet.Worker(i), Slots: workerSlots, Control: l.fleet.Control(),
-			Heartbeat: time.Second, TokenTime: l.plan.TokenTime, Handles: handles})
+			HeartbeatInterval: time.Second, TokenTime: l.plan.TokenTime, Handles: handles})
 		if err != nil {
 			return err
 		}
