--- a/internal/testkit/conformance/cases.go
+++ b/internal/testkit/conformance/cases.go
@@ -11,7 +11,7 @@
 	"ospreybend/drmaa/client"
 )
 
-// Cases returns the number of test cases in the suite.
+// NumCases returns the number of test cases in the suite.
 func NumCases() int { return len(cases()) }
 
 func cases() []testCase {
--- a/internal/testkit/endtoend/trial.go
+++ b/internal/testkit/endtoend/trial.go
@@ -20,18 +20,18 @@
 
 // Plan describes a trial.
 type Plan struct {
-	Program     string   // the built program
-	Env         []string // additional environment of the processes
-	Seed        uint64
-	NoVoters       bool          // no voters: the same faults, with nodes that do not coordinate
-	DisabledCheck     string        // name of a check of the protocol to disable; empty: none
-	OperatorEvacuation      bool          // evacuation trials only: no faults, an operator evacuates a zone
-	DurationBefore time.Duration // without faults
+	Program            string   // the built program
+	Env                []string // additional environment of the processes
+	Seed               uint64
+	NoVoters           bool          // no voters: the same faults, with nodes that do not coordinate
+	DisabledCheck      string        // name of a check of the protocol to disable; empty: none
+	OperatorEvacuation bool          // evacuation trials only: no faults, an operator evacuates a zone
+	DurationBefore     time.Duration // without faults
 	FaultDuration      time.Duration
-	DurationAfter       time.Duration // without faults
-	Rate        float64       // requests a second at each node
-	DialTimeout time.Duration // of the clients; 0: the load generator's default
-	Dir         string        // for the processes' files; the caller removes it
+	DurationAfter      time.Duration // without faults
+	Rate               float64       // requests a second at each node
+	DialTimeout        time.Duration // of the clients; 0: the load generator's default
+	Dir                string        // for the processes' files; the caller removes it
 }
 
 // Report is the result of a trial.
--- a/internal/testkit/fakemodelworker/worker.go
+++ b/internal/testkit/fakemodelworker/worker.go
@@ -43,18 +43,18 @@
 
 // Options describe a worker.
 type Options struct {
-	ID          string
-	Service     string
-	Zone        string
-	Stage       string        // "prefill", "decode", or empty for a plain service
-	Address     string        // "ip:port" to listen on
-	Slots       int           // requests at once; more are rejected
-	Control     []string      // control addresses of the fleet, tried in turn
-	HeartbeatInterval   time.Duration // interval of the heartbeats
-	PrefillRate float64       // prompt tokens a millisecond; 0: prefills take no time
-	TokenTime   time.Duration // interval between two tokens
-	PlainTime   time.Duration // how long a request of a plain service takes
-	Handles     *Handles      // shared by the prefill and decode workers of a fleet
+	ID                string
+	Service           string
+	Zone              string
+	Stage             string   // "prefill", "decode", or empty for a plain service
+	Address           string   // "ip:port" to listen on
+	Slots             int      // requests at once; more are rejected
+	Control           []string // control addresses of the fleet, tried in turn
+	HeartbeatInterval time.Duration
+	PrefillRate       float64       // prompt tokens a millisecond; 0: prefills take no time
+	TokenTime         time.Duration // interval between two tokens
+	PlainTime         time.Duration // how long a request of a plain service takes
+	Handles           *Handles      // shared by the prefill and decode workers of a fleet
 }
 
 // Counts are the counters of a worker.
--- a/internal/testkit/fakeplatform/fleet.go
+++ b/internal/testkit/fakeplatform/fleet.go
@@ -133,7 +133,7 @@
 	return f, nil
 }
 
-// List publishes the endpoint list with the present state of the workers.
+// PublishEndpoints publishes the endpoint list with the present state of the workers.
 func (f *Fleet) PublishEndpoints() {
 	var list []Endpoint
 	for _, w := range f.Workers {
@@ -146,13 +146,13 @@
 	f.Discovery.Set(list)
 }
 
-// Drain lists a worker as draining, or as ready again.
+// SetDraining lists a worker as draining, or as ready again.
 func (f *Fleet) SetDraining(w *Worker, draining bool) {
 	f.draining[w.Name] = draining
 	f.PublishEndpoints()
 }
 
-// Begun returns how often each job was started, over all workers.
+// StartCounts returns how often each job was started, over all workers.
 func (f *Fleet) StartCounts() map[string]int {
 	out := map[string]int{}
 	for _, w := range f.Workers {
--- a/internal/testkit/fakeplatform/worker.go
+++ b/internal/testkit/fakeplatform/worker.go
@@ -70,7 +70,7 @@
 // Script decides what a worker does with a job. Workers that share a script call it concurrently.
 type Script func(Job) Act
 
-// For returns a script that serves every job and runs it for the given time.
+// FixedRunTime returns a script that serves every job and runs it for the given time.
 func FixedRunTime(run time.Duration) Script { return func(Job) Act { return Act{Run: run} } }
 
 // Worker is a fake prep worker with a number of slots and a FIFO queue.
@@ -117,7 +117,7 @@
 // Address returns the address of the last start; empty: none yet.
 func (w *Worker) Address() string { w.mu.Lock(); defer w.mu.Unlock(); return w.address }
 
-// Vanish stops the worker as a crash would: its connections break, and its running jobs are lost. Start restarts it.
+// Crash stops the worker as a crash of its process would: its connections break, and its running jobs are lost. Start restarts it.
 func (w *Worker) Crash() {
 	w.mu.Lock()
 	s := w.server
@@ -131,7 +131,7 @@
 // SetScript replaces the worker's script.
 func (w *Worker) SetScript(s Script) { w.mu.Lock(); w.script = s; w.mu.Unlock() }
 
-// Begun returns how often each job was started. The attempts of a job of the batch API count as one job.
+// StartCounts returns how often each job was started. The attempts of a job of the batch API count as one job.
 func (w *Worker) StartCounts() map[string]int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/testkit/loadgen/load.go
+++ b/internal/testkit/loadgen/load.go
@@ -20,20 +20,20 @@
 
 // Class is one class of requests in the mix.
 type Class struct {
-	Name   string
-	Share  float64       // fraction of the requests; the last class gets the remainder
-	Target time.Duration // latency target
+	Name     string
+	Share    float64       // fraction of the requests; the last class gets the remainder
+	Target   time.Duration // latency target
 	Deadline time.Duration // deadline that the client sends in Req-Deadline
 }
 
 // Config describes a load.
 type Config struct {
-	URL     string        // of the platform front
-	Rate    float64       // requests a second
-	Duration     time.Duration // length of the load
-	Seed    uint64
-	Classes []Class
-	Prefix  string // of the values of Req-Id
+	URL      string        // of the platform front
+	Rate     float64       // requests a second
+	Duration time.Duration // length of the load
+	Seed     uint64
+	Classes  []Class
+	Prefix   string // of the values of Req-Id
 	// Stop, if not nil, ends the load early when it is closed: no more requests are sent; Run still waits for the responses.
 	Stop <-chan struct{}
 	// MaxPending limits the number of requests that wait for a response; above it, due requests are sent later. 0: no limit.
@@ -56,8 +56,10 @@
 	Latency                                             *hdrhistogram.Histogram // of served requests, in microseconds
 }
 
-// Service returns the fraction of the requests that were served within their latency target.
-func (r *Result) FractionWithinTarget() float64 { return float64(r.WithinTarget) / float64(max(r.Sent, 1)) }
+// FractionWithinTarget returns the fraction of the requests that were served within their latency target.
+func (r *Result) FractionWithinTarget() float64 {
+	return float64(r.WithinTarget) / float64(max(r.Sent, 1))
+}
 
 // Percentile returns a percentile, between 0 and 100, of the latencies of served requests.
 func (r *Result) Percentile(p float64) time.Duration {
