--- a/internal/testkit/localfleet/addresses.go
+++ b/internal/testkit/localfleet/addresses.go
@@ -7,46 +7,47 @@
 	"github.com/rotisserie/eris"
 )
 
-// All edges of a local fleet share 127.0.0.1, on which each agent serves its proxy. Each edge therefore
-// has ports of its own there, and a fleet a block of ports of its own.
+// Every agent serves its proxy on 127.0.0.1, so all edges on the machine share that address. Each fleet
+// therefore has its own block of ports there, and each edge its own ports within the block.
 const (
-	maxBlocks    = 40 // fleets at the same time on one machine
-	firstNetwork = 77 // second byte of the addresses of the first block
-	firstPort    = 21160
-	edgePorts    = 4                          // of one edge
-	blockPorts   = (maxEdges + 1) * edgePorts // of one fleet; the last one is its reservation
+	maxBlocks     = 40 // maximum number of concurrent fleets on one machine
+	firstNetwork  = 77 // second byte of the IP addresses of the first block
+	firstPort     = 21160
+	portsPerEdge  = 4                             // ports of one edge
+	portsPerBlock = (maxEdges + 1) * portsPerEdge // ports of one fleet; the last edge's range holds the reservation
 )
 
-// addressBlock is the part of the loopback network that one fleet uses alone.
+// addressBlock is the range of loopback addresses and ports reserved for one fleet.
 type addressBlock struct {
 	index       int
 	reservation net.Listener
 }
 
-// errNoFreeBlock is returned when too many local fleets run on this machine.
+// errNoFreeBlock is returned when maxBlocks local fleets already run on this machine.
 var errNoFreeBlock = eris.New("all address blocks for local fleets are in use")
 
-// reserve reserves the first block that no other fleet of this machine uses.
-func reserve() (*addressBlock, error) {
+// reserveBlock reserves the first free block. It holds a listener on a port of the block, so that fleets of other
+// processes skip it.
+func reserveBlock() (*addressBlock, error) {
 	for index := range maxBlocks {
-		p := &addressBlock{index: index}
-		last := p.ports(maxEdges)[1]
-		claim, err := net.Listen("tcp4", fmt.Sprintf("127.0.0.1:%d", last))
+		block := &addressBlock{index: index}
+		last := block.ports(maxEdges)[1]
+		listener, err := net.Listen("tcp4", fmt.Sprintf("127.0.0.1:%d", last))
 		if err == nil {
-			p.reservation = claim
-			return p, nil
+			block.reservation = listener
+			return block, nil
 		}
 	}
 	return nil, eris.Wrapf(errNoFreeBlock, "%d blocks", maxBlocks)
 }
 
-func (p *addressBlock) release() { _ = p.reservation.Close() }
+func (b *addressBlock) release() { _ = b.reservation.Close() }
 
-// network returns the second byte of the fleet's addresses.
-func (p *addressBlock) network() int { return firstNetwork + p.index }
+// network returns the second byte of the fleet's IP addresses.
+func (b *addressBlock) network() int { return firstNetwork + b.index }
 
-// ports returns the port range of the i-th edge. Servers use that of the first.
-func (p *addressBlock) ports(i int) [2]int {
-	first := firstPort + p.index*blockPorts + i*edgePorts
-	return [2]int{first, first + edgePorts - 1}
+// ports returns the first and last port of the i-th edge. Servers use the range of edge 0.
+func (b *addressBlock) ports(i int) [2]int {
+	first := firstPort + b.index*portsPerBlock + i*portsPerEdge
+	return [2]int{first, first + portsPerEdge - 1}
 }
--- a/internal/testkit/localfleet/fleet.go
+++ b/internal/testkit/localfleet/fleet.go
@@ -1,6 +1,6 @@
-// Package localfleet runs a complete router fleet on loopback addresses of one machine: each process is a
-// child of this one with a settings file and a data directory of its own. Demonstrations, whole-program
-// tests and scale runs rest on it.
+// Package localfleet runs a complete router fleet on loopback addresses of one machine. Each fleet process is a
+// child process with its own settings file and data directory. The demo, end-to-end tests and scale measurements
+// use it.
 package localfleet
 
 import (
@@ -21,15 +21,15 @@
 	portFront     = 21144
 	portReadiness = 21140
 	portControl   = 21146
-	PortWorker    = 21080 // of fake workers
+	PortWorker    = 21080 // fake workers
 )
 
-// Networks (third byte of the address) by class of machine.
+// Third byte of the IP address by machine class.
 const (
 	networkServers = 1
 	networkEdges   = 2
-	networkWorkers = 3   // and those above
-	networkHollow  = 100 // and those above: nodes that this process plays itself
+	networkWorkers = 3   // and up, hostsPerNetwork workers each
+	networkHollow  = 100 // and up: hollow nodes, which run inside the calling process
 )
 
 const (
@@ -37,19 +37,19 @@
 	hostsPerNetwork = 250
 	maxServers      = 16
 	maxEdges        = 16
-	maxSeeds        = 3 // of the servers' addresses in the settings
+	maxSeeds        = 3 // server addresses listed as seeds in the settings
 )
 
-// Layout describes the size of a fleet and how its processes run.
+// Layout describes the size of a fleet and the options of its processes.
 type Layout struct {
-	Binary    string // the fleet's program
-	Directory string // settings files and data go below it
+	Binary    string // path of the fleet's executable
+	Directory string // parent of settings files, logs and data
 	Servers   int
 	Edges     int // machines with a proxy and an agent each
 	LogLevel  string
-	Tolerance int // servers that may be lost at once; 0: as many as leave a majority
-	Cores     int // that a process may use; 0: all of the machine's
-	MemoryMb  int // in a process's settings; 0: the settings' default
+	Tolerance int // servers that may fail at the same time; 0: the most that leave a majority
+	Cores     int // CPU cores per process (GOMAXPROCS); 0: all of the machine's
+	MemoryMb  int // memory limit in each process's settings; 0: the default of the settings
 }
 
 // Fleet is a running fleet.
@@ -57,33 +57,33 @@
 	layout    Layout
 	addresses *addressBlock
 	mutex     sync.Mutex
-	all       map[string]*Process // by role and node
+	processes map[string]*Process // latest process by role and node name
 	relays    []*relay
 }
 
-// ErrLayout is wrapped by the error of New for a layout that cannot be run.
+// ErrLayout is wrapped by the error that New returns for an invalid layout.
 var ErrLayout = eris.New("invalid layout of a local fleet")
 
-// New prepares a fleet; nothing runs yet. StopAll releases its addresses.
+// New reserves addresses for a fleet without starting any process. StopAll and KillAll release them.
 func New(layout Layout) (*Fleet, error) {
 	if layout.Servers < 1 || layout.Servers > maxServers || layout.Edges < 0 || layout.Edges > maxEdges {
-		return nil, eris.Wrapf(ErrLayout, "%d servers of 1 to %d, %d edges of at most %d", layout.Servers, maxServers, layout.Edges, maxEdges)
+		return nil, eris.Wrapf(ErrLayout, "%d servers, want 1 to %d; %d edges, want 0 to %d", layout.Servers, maxServers, layout.Edges, maxEdges)
 	}
-	reserved, err := reserve()
+	reserved, err := reserveBlock()
 	if err != nil {
 		return nil, err
 	}
-	return &Fleet{layout: layout, addresses: reserved, all: map[string]*Process{}}, nil
+	return &Fleet{layout: layout, addresses: reserved, processes: map[string]*Process{}}, nil
 }
 
-// Zone names the zone of the i-th machine of a class.
+// Zone returns the zone name of the i-th machine of a class.
 func Zone(i int) string { return fmt.Sprintf("zone-%d", i%zoneCount+1) }
 
 func (f *Fleet) address(network, host int) string {
 	return fmt.Sprintf("127.%d.%d.%d", f.addresses.network(), network, host+1)
 }
 
-// Control returns the control addresses of all servers.
+// Control returns the addresses of the servers' control API.
 func (f *Fleet) Control() []string {
 	addresses := make([]string, f.layout.Servers)
 	for i := range addresses {
@@ -102,12 +102,12 @@
 	return fmt.Sprintf("%s:%d", f.address(networkEdges, i), portReadiness)
 }
 
-// Worker returns the address for the i-th fake worker.
+// Worker returns the address of the i-th fake worker.
 func (f *Fleet) Worker(i int) string {
 	return fmt.Sprintf("%s:%d", f.address(networkWorkers+i/hostsPerNetwork, i%hostsPerNetwork), PortWorker)
 }
 
-// HollowIP returns the IP of the i-th node that is played without processes of its own.
+// HollowIP returns the IP of the i-th hollow node, which has no processes of its own.
 func (f *Fleet) HollowIP(i int) string {
 	return f.address(networkHollow+i/hostsPerNetwork, i%hostsPerNetwork)
 }
@@ -118,7 +118,7 @@
 // PortRange returns the port range of the servers and of the first edge.
 func (f *Fleet) PortRange() [2]int { return f.addresses.ports(0) }
 
-// Peers returns the addresses at which servers accept each other and agents.
+// Peers returns the addresses at which servers accept connections from other servers and from agents.
 func (f *Fleet) Peers() []string {
 	addresses := make([]string, f.layout.Servers)
 	for i := range addresses {
@@ -127,7 +127,7 @@
 	return addresses
 }
 
-// StartServer starts the i-th server. bootstrap is true at the fleet's first start only.
+// StartServer starts the i-th server. bootstrap must be true only at the fleet's first start.
 func (f *Fleet) StartServer(i int, bootstrap bool) (*Process, error) {
 	settings := f.baseSettings(networkServers, i, roleControlPlane, bootstrap)
 	settings.Listen.Control = fmt.Sprintf("%s:%d", settings.IP, portControl)
@@ -136,9 +136,9 @@
 	return f.start(settings)
 }
 
-// WipeServer removes what the i-th server, which must have ended, has on its disk.
+// WipeServer deletes the data directory of the i-th server, whose process must have ended.
 func (f *Fleet) WipeServer(i int) error {
-	return eris.Wrap(os.RemoveAll(f.dataDirectory(i)), "wipe")
+	return eris.Wrap(os.RemoveAll(f.dataDirectory(i)), "remove data directory")
 }
 
 // dataDirectory returns the data directory of the i-th server.
@@ -184,7 +184,7 @@
 
 func nodeName(network, i int) string { return fmt.Sprintf("machine-%d-%d", network, i+1) }
 
-// baseSettings returns the settings that all roles have.
+// baseSettings returns the settings common to all roles.
 func (f *Fleet) baseSettings(network, index int, role string, bootstrap bool) bootconfig.Settings {
 	settings := bootconfig.Defaults()
 	settings.Role, settings.IP, settings.Zone, settings.Region = role, f.address(network, index), Zone(index), "local"
@@ -210,7 +210,7 @@
 // roleControlPlane is the role of control plane servers in the settings.
 const roleControlPlane = "controlplane"
 
-// subcommand returns the sub-command of inference-router that runs a role.
+// subcommand returns the subcommand of inference-router that runs a role.
 func subcommand(role string) string {
 	if role == roleControlPlane {
 		return "control-plane"
@@ -218,23 +218,23 @@
 	return role
 }
 
-// start writes a process's settings and starts it.
+// start writes the settings file of a process and starts it.
 func (f *Fleet) start(settings bootconfig.Settings) (*Process, error) {
 	directory := filepath.Join(f.layout.Directory, settings.NodeName)
 	if err := os.MkdirAll(filepath.Join(directory, "data"), 0o755); err != nil {
-		return nil, eris.Wrap(err, "directory")
+		return nil, eris.Wrap(err, "create process directory")
 	}
 	content, err := json.Marshal(settings)
 	if err != nil {
-		return nil, eris.Wrap(err, "settings")
+		return nil, eris.Wrap(err, "encode settings")
 	}
 	path := filepath.Join(directory, settings.Role+".json")
 	if err := os.WriteFile(path, content, 0o644); err != nil {
-		return nil, eris.Wrap(err, "settings")
+		return nil, eris.Wrap(err, "write settings file")
 	}
 	log, err := os.OpenFile(filepath.Join(directory, settings.Role+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
-		return nil, eris.Wrap(err, "log")
+		return nil, eris.Wrap(err, "open log file")
 	}
 	defer log.Close()
 	command := exec.Command(f.layout.Binary, subcommand(settings.Role), "--settings", path)
@@ -246,7 +246,7 @@
 	}
 	command.Stdout, command.Stderr = log, log
 	if err := command.Start(); err != nil {
-		return nil, eris.Wrapf(err, "start of %s", settings.Role)
+		return nil, eris.Wrapf(err, "start %s process", settings.Role)
 	}
 	return f.watch(settings, command), nil
 }
--- a/internal/testkit/localfleet/fleet_test.go
+++ b/internal/testkit/localfleet/fleet_test.go
@@ -19,14 +19,14 @@
 )
 
 const (
-	poll        = 20 * time.Millisecond
-	testLimit   = 40 * time.Second
-	serverCount = 3
-	edges       = 2
-	hostOfTests = "whole.example"
+	pollInterval = 20 * time.Millisecond
+	testTimeout  = 40 * time.Second
+	serverCount  = 3
+	edgeCount    = 2
+	testHost     = "whole.example"
 )
 
-// binary is the fleet's program, built once for all tests.
+// binary is the path of the fleet's executable, built once for all tests.
 var binary string
 
 func TestMain(m *testing.M) { os.Exit(buildAndRun(m)) }
@@ -46,7 +46,7 @@
 	return m.Run()
 }
 
-// fleetTest is a running fleet with an operator.
+// fleetTest is a test with a running fleet and an operator client.
 type fleetTest struct {
 	*testing.T
 	ctx      context.Context
@@ -54,14 +54,14 @@
 	operator *localfleet.Operator
 }
 
-// newFleetTest starts a fleet, whose processes are killed at the end of the test.
+// newFleetTest starts a fleet and kills its processes at the end of the test.
 func newFleetTest(t *testing.T) *fleetTest {
 	t.Helper()
-	fleet, err := localfleet.New(localfleet.Layout{Binary: binary, Directory: t.TempDir(), Servers: serverCount, Edges: edges})
+	fleet, err := localfleet.New(localfleet.Layout{Binary: binary, Directory: t.TempDir(), Servers: serverCount, Edges: edgeCount})
 	if err != nil {
 		t.Fatal(err)
 	}
-	ctx, cancel := context.WithTimeout(t.Context(), testLimit)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	operator := localfleet.NewOperator(fleet.Control())
 	t.Cleanup(func() {
 		cancel()
@@ -75,15 +75,15 @@
 	return r
 }
 
-// await fails the test if a condition does not come about.
+// await polls a condition and fails the test if it is not met in time.
 func (r *fleetTest) await(what string, check func() bool) {
 	r.Helper()
-	if err := localfleet.Await(r.ctx, poll, check); err != nil {
-		r.Fatalf("%s: %v", what, err)
+	if err := localfleet.Await(r.ctx, pollInterval, check); err != nil {
+		r.Fatalf("waiting for %s: %v", what, err)
 	}
 }
 
-// worker starts a fake worker of a service.
+// worker starts the i-th fake worker, for the given service.
 func (r *fleetTest) worker(i int, service string, tokenTime time.Duration) *fakemodelworker.Worker {
 	r.Helper()
 	options := fakemodelworker.Options{ID: fmt.Sprintf("worker-%d", i), Zone: localfleet.Zone(i), Service: service,
@@ -99,9 +99,10 @@
 	return worker
 }
 
-// firstConfiguration is a complete configuration of generation 1 with a plain route for each name and one streaming route.
+// firstConfiguration returns a complete configuration of generation 1 with an idempotent route for each name and one
+// streaming route.
 func firstConfiguration(names ...string) []byte {
-	routes := []string{fmt.Sprintf(`{"name":"stream","hostname":%q,"pathPrefix":"/stream/","routeType":"streaming","timeoutMs":8000,"service":"model","maxAttempts":1}`, hostOfTests)}
+	routes := []string{fmt.Sprintf(`{"name":"stream","hostname":%q,"pathPrefix":"/stream/","routeType":"streaming","timeoutMs":8000,"service":"model","maxAttempts":1}`, testHost)}
 	for _, name := range names {
 		routes = append(routes, plainRoute(name))
 	}
@@ -111,59 +112,59 @@
 
 func plainRoute(name string) string {
 	return fmt.Sprintf(`{"name":%q,"hostname":%q,"pathPrefix":"/%s/","routeType":"idempotent","timeoutMs":2000,"service":"store","maxAttempts":2}`,
-		name, hostOfTests, name)
+		name, testHost, name)
 }
 
-// addRoute is a change that adds one route.
+// addRoute returns a configuration change that adds one route.
 func addRoute(generation int, name string) []byte {
 	return fmt.Appendf(nil, `{"generation":%d,"upsert":{"routes":[%s]}}`, generation, plainRoute(name))
 }
 
-// replaceFirst sends the first configuration, which has no base.
-func (r *fleetTest) replaceFirst(body []byte) {
+// sendFirstConfiguration sends the first configuration, which has base version 0.
+func (r *fleetTest) sendFirstConfiguration(body []byte) {
 	r.Helper()
 	if err := r.operator.Replace(r.ctx, 0, body); err != nil {
-		r.Fatalf("replace on no configuration: %v", err)
+		r.Fatalf("Config.Replace of the first configuration: %v", err)
 	}
 }
 
 func (r *fleetTest) update(base uint64, body []byte) {
 	r.Helper()
 	if err := r.operator.Update(r.ctx, base, body); err != nil {
-		r.Fatalf("update on %d: %v", base, err)
+		r.Fatalf("Config.Update on base version %d: %v", base, err)
 	}
 }
 
-// generation reads the configuration back.
+// generation returns the generation of the configuration in force.
 func (r *fleetTest) generation() int {
 	r.Helper()
 	body, err := r.operator.Read(r.ctx)
 	if err != nil {
-		r.Fatalf("read: %v", err)
+		r.Fatalf("Config.Read: %v", err)
 	}
 	var read struct{ Generation int }
 	if err := json.Unmarshal(body, &read); err != nil {
-		r.Fatalf("read: %v: %s", err, body)
+		r.Fatalf("Config.Read: decode: %v: %s", err, body)
 	}
 	return read.Generation
 }
 
-// request sends one request through a proxy.
+// request sends one request through the proxy of an edge.
 func (r *fleetTest) request(edge int, path string) (*http.Response, error) {
 	request, err := http.NewRequestWithContext(r.ctx, "POST", "http://"+r.fleet.Front(edge)+path, strings.NewReader("{}"))
 	if err != nil {
 		return nil, err
 	}
-	request.Host = hostOfTests
+	request.Host = testHost
 	request.Header.Set("X-Request-Id", fmt.Sprintf("%s-%d-%d", strings.ReplaceAll(path, "/", "-"), edge, time.Now().UnixNano()))
 	request.Header.Set("X-Token-Count", "10,20")
 	return http.DefaultTransport.RoundTrip(request)
 }
 
-// answers reports whether each proxy answers on a route with a status.
-func (r *fleetTest) answers(path string, status int) func() bool {
+// allProxiesAnswer returns a check that every proxy answers a request for path with the given status.
+func (r *fleetTest) allProxiesAnswer(path string, status int) func() bool {
 	return func() bool {
-		for edge := range edges {
+		for edge := range edgeCount {
 			response, err := r.request(edge, path)
 			if err != nil {
 				return false
@@ -178,7 +179,7 @@
 	}
 }
 
-// serverStatus is the part of a server's status that the tests read.
+// serverStatus is the part of the response of /-/status that the tests use.
 type serverStatus struct {
 	Member string
 	Shards []struct {
@@ -199,8 +200,8 @@
 	return status, json.Unmarshal(response.Body, &status) == nil
 }
 
-// votes reports whether a server is a current voter of all groups that have exactly the wanted members.
-func (r *fleetTest) votes(server int) bool {
+// isCurrentVoter reports whether a server is current and a voter in every shard, each with exactly serverCount members.
+func (r *fleetTest) isCurrentVoter(server int) bool {
 	status, ok := r.status(server)
 	if !ok || len(status.Shards) == 0 {
 		return false
@@ -217,31 +218,32 @@
 	return true
 }
 
+// Accepted changes must survive the loss of one server, a restart of all servers, and the loss of one server's disk.
 func TestFleet_configurationOutlivesServers(t *testing.T) {
 	t.Parallel()
 	r := newFleetTest(t)
 	r.worker(0, "store", 0)
-	r.replaceFirst(firstConfiguration("first"))
-	r.await("the first route at all proxies", r.answers("/first/x", http.StatusOK))
+	r.sendFirstConfiguration(firstConfiguration("first"))
+	r.await("the first route at all proxies", r.allProxiesAnswer("/first/x", http.StatusOK))
 
 	r.fleet.Server(0).Kill()
 	r.update(1, addRoute(2, "second"))
-	r.await("a change accepted without one server", r.answers("/second/x", http.StatusOK))
+	r.await("the second route at all proxies, with one server down", r.allProxiesAnswer("/second/x", http.StatusOK))
 
 	r.restartAllServers()
 	if got := r.generation(); got != 2 {
-		t.Fatalf("read back after all servers were killed: generation %d, want 2", got)
+		t.Fatalf("generation after all servers were killed and restarted: got %d, want 2", got)
 	}
 	r.replaceDisk(1)
-	r.fleet.Server(2).Kill() // what is acknowledged now needs the server with the new disk
+	r.fleet.Server(2).Kill() // a majority now needs the server with the new disk
 	r.update(2, addRoute(3, "third"))
-	r.await("a change taken with the new disk's vote", r.answers("/third/x", http.StatusOK))
+	r.await("the third route at all proxies, accepted with the vote of the server with the new disk", r.allProxiesAnswer("/third/x", http.StatusOK))
 	if got := r.generation(); got != 3 {
-		t.Fatalf("generation %d, want 3", got)
+		t.Fatalf("generation after the disk was replaced: got %d, want 3", got)
 	}
 }
 
-// restartAllServers kills all servers before any starts again.
+// restartAllServers kills all servers before it starts any of them again.
 func (r *fleetTest) restartAllServers() {
 	r.Helper()
 	for i := range serverCount {
@@ -254,7 +256,7 @@
 	}
 }
 
-// replaceDisk kills a server, removes its disk and has it join again.
+// replaceDisk kills a server, deletes its data and waits until it has joined again as a voter under a new member ID.
 func (r *fleetTest) replaceDisk(server int) {
 	r.Helper()
 	before, _ := r.status(server)
@@ -265,44 +267,47 @@
 	if _, err := r.fleet.StartServer(server, false); err != nil {
 		r.Fatal(err)
 	}
-	r.await("a server with an empty disk to be a voter again", func() bool { return r.votes(server) })
+	r.await("the server with an empty disk to become a current voter", func() bool { return r.isCurrentVoter(server) })
 	if after, ok := r.status(server); ok && after.Member == before.Member {
-		r.Errorf("the server that lost its disk is still member %s", after.Member)
+		r.Errorf("server that lost its disk: still member %s, want a new member ID", after.Member)
 	}
 }
 
+// A proxy keeps serving known routes while its agent is down, and answers 503, not 404, for routes that it does not
+// know, since it may have missed a change.
 func TestFleet_proxyServesWithoutItsAgent(t *testing.T) {
 	t.Parallel()
 	r := newFleetTest(t)
 	r.worker(0, "store", 0)
-	r.replaceFirst(firstConfiguration("first"))
-	r.await("the first route at all proxies", r.answers("/first/x", http.StatusOK))
-	for edge := range edges {
+	r.sendFirstConfiguration(firstConfiguration("first"))
+	r.await("the first route at all proxies", r.allProxiesAnswer("/first/x", http.StatusOK))
+	for edge := range edgeCount {
 		r.fleet.Agent(edge).Kill()
 	}
-	if !r.answers("/first/x", http.StatusOK)() {
-		t.Error("a proxy without its agent does not serve")
+	if !r.allProxiesAnswer("/first/x", http.StatusOK)() {
+		t.Error("known route with the agents killed: want status 200 from every proxy")
 	}
 	r.update(1, addRoute(2, "second"))
-	// Without an agent nobody knows whether there is such a route by now, and 404 would report that there is none.
-	if !r.answers("/second/x", http.StatusServiceUnavailable)() {
-		t.Error("a change has come without an agent, or is denied: the proxies do not read from their own agents")
+	// Without its agent a proxy cannot know whether the route exists by now; 404 would claim that it does not.
+	if !r.allProxiesAnswer("/second/x", http.StatusServiceUnavailable)() {
+		t.Error("route added while the agents are down: want status 503 from every proxy; any other shows that a proxy got the change without its agent, or denies the route")
 	}
-	for edge := range edges {
+	for edge := range edgeCount {
 		if _, err := r.fleet.StartAgent(edge); err != nil {
 			t.Fatal(err)
 		}
 	}
-	r.await("the change after the agents are back", r.answers("/second/x", http.StatusOK))
-	r.await("a route that there is not, after the agents are back", r.answers("/third/x", http.StatusNotFound))
+	r.await("the second route at all proxies after the agents restarted", r.allProxiesAnswer("/second/x", http.StatusOK))
+	r.await("status 404 for an unknown route after the agents restarted", r.allProxiesAnswer("/third/x", http.StatusNotFound))
 }
 
+// A proxy that receives SIGTERM completes the streams in progress before it exits.
 func TestFleet_streamCompletesAfterSIGTERM(t *testing.T) {
 	t.Parallel()
 	r := newFleetTest(t)
 	r.worker(0, "model", 60*time.Millisecond)
-	r.replaceFirst(firstConfiguration())
-	r.await("the streaming route at all proxies", r.answers("/stream/x", http.StatusOK))
+	r.sendFirstConfiguration(firstConfiguration())
+	r.await("the streaming route at all proxies", r.allProxiesAnswer("/stream/x", http.StatusOK))
 
 	response, err := r.request(0, "/stream/x")
 	if err != nil {
@@ -311,7 +316,7 @@
 	defer response.Body.Close()
 	lines := bufio.NewScanner(response.Body)
 	if !lines.Scan() {
-		t.Fatalf("no first line: %v", lines.Err())
+		t.Fatalf("stream ended before its first line: %v", lines.Err())
 	}
 	proxy := r.fleet.Proxy(0)
 	proxy.Terminate()
@@ -322,9 +327,9 @@
 		}
 	}
 	if lines.Err() != nil || events != 20 {
-		t.Errorf("the stream ended after %d events of 20: %v", events, lines.Err())
+		t.Errorf("stream after SIGTERM: got %d events, want 20; error %v", events, lines.Err())
 	}
 	if err := proxy.Stop(); err != nil {
-		t.Errorf("the proxy ended badly: %v", err)
+		t.Errorf("proxy exit after SIGTERM: %v", err)
 	}
 }
--- a/internal/testkit/localfleet/link.go
+++ b/internal/testkit/localfleet/link.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// Link describes the delay and loss of a relay. The zero value forwards at once.
+// Link describes the simulated delay and loss of a relay. The zero value forwards without delay.
 //
-// Loss shows as it does to users of TCP: the bytes arrive later. A lost segment delays all that follows for a
-// retransmission time-out beside the delay.
+// Loss is modelled as TCP applications see it: no bytes go missing, they arrive later. A lost segment delays itself
+// and everything behind it by a retransmission timeout and another one-way delay.
 type Link struct {
-	Delay time.Duration // one way
-	Loss  float64       // share of segments that are lost at first
+	Delay time.Duration // one-way delay
+	Loss  float64       // probability from 0 to below 1 that one transmission of a segment is lost
 }
 
 const (
 	segmentBytes         = 1448
 	minRetransmitTimeout = 200 * time.Millisecond
-	linkQueue            = 256 // segments in flight
+	linkQueueLength      = 256 // segments in flight
 )
 
 // segment is a chunk of bytes in flight.
@@ -27,9 +27,9 @@
 	due  time.Time
 }
 
-// copyBytes forwards bytes in order until either connection ends.
+// copyBytes forwards bytes in order until either connection ends or fails.
 func (l Link) copyBytes(to, from net.Conn) {
-	queue := make(chan segment, linkQueue)
+	queue := make(chan segment, linkQueueLength)
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
@@ -52,7 +52,7 @@
 	}
 }
 
-// arrival returns when a segment that is sent now arrives.
+// arrival returns the arrival time of a segment sent now.
 func (l Link) arrival(now time.Time) time.Time {
 	at := now.Add(l.Delay)
 	for l.Loss > 0 && rand.Float64() < l.Loss {
@@ -61,7 +61,7 @@
 	return at
 }
 
-// deliver writes segments when they are due, until the queue is closed or a write fails.
+// deliver writes each segment at its due time, until the queue is closed or a write fails.
 func deliver(to net.Conn, queue <-chan segment) {
 	for one := range queue {
 		if wait := time.Until(one.due); wait > 0 {
--- a/internal/testkit/localfleet/operator.go
+++ b/internal/testkit/localfleet/operator.go
@@ -12,7 +12,6 @@
 	"ospreybend/internal/util/http1"
 )
 
-// Times of the operator's calls.
 const (
 	operatorCallTimeout = 3 * time.Second
 	operatorRetryPause  = 50 * time.Millisecond
@@ -20,18 +19,18 @@
 
 const (
 	statusOK          = 200
-	statusServerError = 500 // and above
+	statusServerError = 500 // lowest status of a server error
 )
 
-// Operator calls the operators' API as the protocol demands: a call without a final answer is sent
-// again, unchanged, to the next server.
+// Operator is a client of the operator API. As the protocol requires, it retries a call that has no final answer
+// unchanged on the next server.
 type Operator struct {
 	pool    *upstream.Pool
 	control []string
 	next    atomic.Uint64
 }
 
-// NewOperator returns an operator that calls the given control addresses.
+// NewOperator returns an operator for the given control addresses.
 func NewOperator(control []string) *Operator {
 	return &Operator{pool: upstream.New(upstream.Options{}), control: control}
 }
@@ -39,7 +38,7 @@
 // Close closes the operator's connections.
 func (o *Operator) Close() { o.pool.Close() }
 
-// RejectedError is the answer to a call that was understood and rejected.
+// RejectedError is returned for a call that a server rejected with a final status.
 type RejectedError struct {
 	Status int
 	Body   string
@@ -48,13 +47,13 @@
 // Error implements error.
 func (e RejectedError) Error() string { return "rejected: " + strconv.Itoa(e.Status) + " " + e.Body }
 
-// Replace sends a complete configuration until it is accepted or rejected, or the context ends.
+// Replace sends a complete configuration, with retries until it is accepted or rejected, or the context ends.
 func (o *Operator) Replace(ctx context.Context, base uint64, body []byte) error {
 	_, err := o.call(ctx, "POST", "/-/Config.Replace", base, body)
 	return err
 }
 
-// Update sends a change of the configuration until it is accepted or rejected, or the context ends.
+// Update sends a configuration change, with retries until it is accepted or rejected, or the context ends.
 func (o *Operator) Update(ctx context.Context, base uint64, body []byte) error {
 	_, err := o.call(ctx, "POST", "/-/Config.Update", base, body)
 	return err
@@ -65,7 +64,7 @@
 	return o.call(ctx, "GET", "/-/Config.Read", 0, nil)
 }
 
-// call tries one server after the other.
+// call tries the servers in turn until one gives a final answer. A status below 500 is final.
 func (o *Operator) call(ctx context.Context, method, target string, base uint64, body []byte) ([]byte, error) {
 	for {
 		address := o.control[o.next.Load()%uint64(len(o.control))]
@@ -83,7 +82,7 @@
 	}
 }
 
-// Ask makes one call of one address and returns its answer, whatever that is.
+// Ask makes a single call to one address and returns the response with any status.
 func (o *Operator) Ask(ctx context.Context, address, method, target string, base uint64, body []byte) (*upstream.Response, error) {
 	ctx, cancel := context.WithTimeout(ctx, operatorCallTimeout)
 	defer cancel()
@@ -96,7 +95,7 @@
 	return response, nil
 }
 
-// pause waits, and reports whether the context has not ended.
+// pause waits for the given time. It returns false if the context ends first.
 func pause(ctx context.Context, wait time.Duration) bool {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
--- a/internal/testkit/localfleet/process.go
+++ b/internal/testkit/localfleet/process.go
@@ -13,27 +13,27 @@
 	"ospreybend/internal/util/bootconfig"
 )
 
-// stopTimeout is the time between SIGTERM and SIGKILL.
+// stopTimeout is how long Stop waits after SIGTERM before it sends SIGKILL.
 const stopTimeout = 12 * time.Second
 
 // errStopTimeout is returned by Stop for a process that had to be killed.
 var errStopTimeout = eris.New("process did not end after SIGTERM")
 
-// Process is one running child.
+// Process is a child process of a fleet, running or ended.
 type Process struct {
 	Role    string
 	Node    string
-	Address string // of the machine
+	Address string // IP of its machine
 	command *exec.Cmd
 	done    chan struct{}
 	err     error
 }
 
-// watch records a process and waits for its end.
+// watch registers a started process and waits for its exit in the background.
 func (f *Fleet) watch(s bootconfig.Settings, command *exec.Cmd) *Process {
 	process := &Process{Role: s.Role, Node: s.NodeName, Address: s.IP, command: command, done: make(chan struct{})}
 	f.mutex.Lock()
-	f.all[s.Role+" "+s.NodeName] = process
+	f.processes[s.Role+" "+s.NodeName] = process
 	f.mutex.Unlock()
 	go func() {
 		process.err = command.Wait()
@@ -42,42 +42,43 @@
 	return process
 }
 
-// Processes returns all processes started last under their role and node, ended ones included.
+// Processes returns the latest process of each role and node, including ended ones.
 func (f *Fleet) Processes() []*Process {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	all := make([]*Process, 0, len(f.all))
-	for _, process := range f.all {
+	all := make([]*Process, 0, len(f.processes))
+	for _, process := range f.processes {
 		all = append(all, process)
 	}
 	return all
 }
 
-// Server returns the process of the i-th server that was started last, or nil.
+// Server returns the latest process of the i-th server, or nil.
 func (f *Fleet) Server(i int) *Process { return f.process(roleControlPlane, networkServers, i) }
 
-// Agent returns the agent of the i-th edge that was started last, or nil.
+// Agent returns the latest agent process of the i-th edge, or nil.
 func (f *Fleet) Agent(i int) *Process { return f.process("agent", networkEdges, i) }
 
-// Proxy returns the proxy of the i-th edge that was started last, or nil.
+// Proxy returns the latest proxy process of the i-th edge, or nil.
 func (f *Fleet) Proxy(i int) *Process { return f.process("proxy", networkEdges, i) }
 
 func (f *Fleet) process(role string, network, i int) *Process {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.all[role+" "+nodeName(network, i)]
+	return f.processes[role+" "+nodeName(network, i)]
 }
 
-// PID is the process's number.
+// PID returns the process ID.
 func (p *Process) PID() int { return p.command.Process.Pid }
 
-// Kill ends the process by SIGKILL and waits for its end.
+// Kill sends SIGKILL and waits until the process has ended.
 func (p *Process) Kill() {
 	_ = p.command.Process.Kill()
 	<-p.done
 }
 
-// Stop ends the process by SIGTERM, after a while by SIGKILL, and returns how it ended.
+// Stop sends SIGTERM, and SIGKILL after stopTimeout. It returns the exit error of the process, or an error if it had
+// to be killed.
 func (p *Process) Stop() error {
 	_ = p.command.Process.Signal(syscall.SIGTERM)
 	select {
@@ -99,18 +100,18 @@
 	}
 }
 
-// Terminate asks the process to end and does not wait for it.
+// Terminate sends SIGTERM without waiting.
 func (p *Process) Terminate() { _ = p.command.Process.Signal(syscall.SIGTERM) }
 
-// Done is closed once the process has ended.
+// Done returns a channel that is closed once the process has ended.
 func (p *Process) Done() <-chan struct{} { return p.done }
 
-// StopAll ends all processes at once and releases the fleet's addresses.
+// StopAll stops all processes concurrently, closes the relays and releases the fleet's addresses.
 func (f *Fleet) StopAll() {
 	f.endAll(func(process *Process) { _ = process.Stop() })
 }
 
-// KillAll is StopAll by SIGKILL.
+// KillAll is like StopAll, but sends SIGKILL.
 func (f *Fleet) KillAll() { f.endAll((*Process).Kill) }
 
 func (f *Fleet) endAll(end func(*Process)) {
@@ -123,7 +124,7 @@
 	f.addresses.release()
 }
 
-// Await calls check until it is true or the context ends, with a pause between calls.
+// Await polls check, with the given pause between calls, until it returns true or the context ends.
 func Await(ctx context.Context, pause time.Duration, check func() bool) error {
 	ticker := time.NewTicker(pause)
 	defer ticker.Stop()
@@ -137,7 +138,7 @@
 	return nil
 }
 
-// Listens reports whether something accepts connections at an address.
+// Listens reports whether an address accepts TCP connections.
 func Listens(address string) bool {
 	connection, err := net.DialTimeout("tcp4", address, time.Second)
 	if err != nil {
--- a/internal/testkit/localfleet/relay.go
+++ b/internal/testkit/localfleet/relay.go
@@ -8,22 +8,22 @@
 	"github.com/rotisserie/eris"
 )
 
-// relay accepts connections at one address and forwards their bytes to another. Agents look for servers at
-// the first port of their own range, which in a local fleet differs from edge to edge.
+// relay is a TCP relay from one address to another. Agents connect to servers at the first port of their own range,
+// which in a local fleet differs from edge to edge.
 //
-// Datagrams are not relayed: edges but the first one of a local fleet get no answers to their probes (such findings
-// remove nobody), and their proxies do not receive each other's load.
+// UDP is not relayed: every edge of a local fleet except the first gets no answers to its probes (which alone never
+// remove a node), and its proxy receives no load reports from other proxies.
 type relay struct {
 	listener net.Listener
 	target   string
 	link     Link
 
-	mutex  sync.Mutex
-	closed bool
-	open   map[net.Conn]struct{}
+	mutex       sync.Mutex
+	closed      bool
+	connections map[net.Conn]struct{}
 }
 
-// openRelays makes the servers reachable at the port where the i-th edge looks for them.
+// openRelays opens relays to the servers on the port at which the given edge's agent connects to them.
 func (f *Fleet) openRelays(edge int) error {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -50,7 +50,8 @@
 	return false
 }
 
-// SlowPeers makes the servers reachable over a slow link and returns the address of each by its own.
+// SlowPeers opens relays to the servers over the given link and returns a map from each server's address to its
+// relay's address.
 func (f *Fleet) SlowPeers(link Link) (map[string]string, error) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -78,9 +79,9 @@
 func newRelay(address, target string, link Link) (*relay, error) {
 	listener, err := net.Listen("tcp4", address)
 	if err != nil {
-		return nil, eris.Wrap(err, "relay to a server")
+		return nil, eris.Wrap(err, "listen for a relay to a server")
 	}
-	r := &relay{listener: listener, target: target, link: link, open: map[net.Conn]struct{}{}}
+	r := &relay{listener: listener, target: target, link: link, connections: map[net.Conn]struct{}{}}
 	go r.accept()
 	return r, nil
 }
@@ -91,12 +92,12 @@
 		if err != nil {
 			return
 		}
-		go r.relay(connection)
+		go r.forward(connection)
 	}
 }
 
-// relay joins a connection with one to the target until either ends.
-func (r *relay) relay(connection net.Conn) {
+// forward connects to the target and copies bytes both ways until either connection ends.
+func (r *relay) forward(connection net.Conn) {
 	defer r.remove(connection)
 	if !r.add(connection) {
 		return
@@ -119,11 +120,11 @@
 	<-ended
 }
 
-// add records a connection and reports whether the relay is still open.
+// add registers a connection and reports whether the relay is still open.
 func (r *relay) add(connection net.Conn) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.open[connection] = struct{}{}
+	r.connections[connection] = struct{}{}
 	return !r.closed
 }
 
@@ -131,7 +132,7 @@
 	_ = connection.Close()
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	delete(r.open, connection)
+	delete(r.connections, connection)
 }
 
 func (r *relay) close() {
@@ -139,7 +140,7 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.closed = true
-	for connection := range r.open {
+	for connection := range r.connections {
 		_ = connection.Close()
 	}
 }
