--- a/internal/testkit/nodesim/day.go
+++ b/internal/testkit/nodesim/day.go
@@ -1,9 +1,9 @@
-// Package nodesim plays a day of a complete fleet in simulated time: many instances of
-// the real decisions, on one clock, against models of prep workers, clients, the network
-// and the list. The same day gives the same result.
+// Package nodesim simulates a day of a complete fleet: many instances of the real balancer run on one simulated
+// clock against models of prep workers, clients, the network and the endpoint list. The same Day always gives the
+// same Result.
 //
-// It is a model, not a benchmark: it shows which of two versions does better on the same hundred days, and what the
-// fleet does as a sum. All parameters are in Day.
+// It is a model, not a benchmark: it shows which of two versions of the balancer does better over the same set of
+// about a hundred days, and what the nodes do in total. All parameters are in Day.
 package nodesim
 
 import (
@@ -15,7 +15,7 @@
 	"ospreybend/balance"
 )
 
-// Range is the range of a parameter that is drawn uniformly.
+// Range is the range from which a parameter is drawn uniformly.
 type Range struct{ Min, Max float64 }
 
 func (s Range) draw(r *rand.Rand) float64 { return s.Min + (s.Max-s.Min)*r.Float64() }
@@ -26,66 +26,66 @@
 
 // Kind is a kind of prep worker.
 type Kind struct {
-	Share        float64
+	Share        float64 // fraction of the workers
 	Cores        float64
-	Speed        Range   // of a core; each worker's own is drawn
-	SlotsPerCore Range   // with more slots than cores, jobs share the cores
-	QueuePerCore Range   // jobs that wait at most
-	WarmUpFloor  Range   // part of its capacity that a warming worker has
-	WarmUpTime   Range   // seconds in which it is warm at the latest
-	Errors       float64 // part of its jobs that fail on any day
+	Speed        Range   // of one core, drawn for each worker
+	SlotsPerCore Range   // jobs share the cores when more slots than cores are in use
+	QueuePerCore Range   // capacity of the queue per core, in jobs
+	WarmUpFloor  Range   // fraction of its capacity that a worker has right after a start
+	WarmUpTime   Range   // seconds after which a worker is fully warm in any case
+	Errors       float64 // fraction of jobs that fail
 }
 
-// Class is a class of operations; balance.Settings has its value.
+// Class describes the work of a class of operations. Its value and limits are in balance.Settings.
 type Class struct {
 	Share float64
-	Work  float64   // mean running time at speed 1, seconds
-	CV    float64   // of a lognormal
-	Slots []float64 // shares of jobs that take 1, 2, 4 ... slots
+	Work  float64   // mean running time at speed 1, in seconds
+	CV    float64   // coefficient of variation of the work, which is lognormal
+	Slots []float64 // fractions of jobs that take 1, 2, 4, ... slots
 }
 
-// Goal has the weights of a day's score.
+// Goal holds the weights of the terms of a day's score.
 type Goal struct{ Day, WorstWindow, WorstClass float64 }
 
-// Replace is a release: a part of the workers drains in steps, successors start with cold caches.
+// Replace is a release: a fraction of the workers drains in steps, and their successors start with cold caches.
 type Replace struct {
 	At, Within float64 // seconds
 	Share      float64
 	Steps      int
-	Drain      Range // seconds until what still runs is killed
+	Drain      Range // seconds until running jobs are killed
 }
 
-// Loss is a part of the workers that becomes unreachable and returns with a cold cache.
+// Loss makes a fraction of the workers unreachable for some time; they return with cold caches.
 type Loss struct{ At, For, Share float64 }
 
-// Kill is a part of the nodes that dies at once and restarts without state.
+// Kill kills a fraction of the nodes at the same time; they restart without state.
 type Kill struct{ At, Down, Share float64 }
 
-// Day describes one day. What is drawn for it comes from Seed alone.
+// Day holds the parameters of one simulated day. All random values derive from Seed.
 type Day struct {
 	Seed     uint64
-	Settings balance.Settings // Balancers and Ordinal are set for each node
+	Settings balance.Settings // Balancers and Ordinal are overwritten for each node
 	Nodes    int
 	Workers  int
-	Length   float64 // seconds in which operations arrive
-	Load     float64 // asked for, as a part of what warm workers can do
-	Uneven   float64 // spread of the nodes' parts of the traffic, as of all noise: the variation of a lognormal
+	Length   float64 // seconds during which operations arrive
+	Load     float64 // offered load as a fraction of the capacity of warm workers
+	Uneven   float64 // coefficient of variation of the nodes' traffic weights, lognormal like all noise
 	Kinds    []Kind
 	Classes  []Class
 
-	Heaviest     float64 // work of the heaviest job, as a part of its class's give-up
-	AttemptNoise float64 // by which each run differs
-	HintNoise    float64 // by which a hint is off; below 0: no hints
-	ReportEvery  Range   // seconds from one load report to the next
-	ReportDelay  Range   // seconds until it can be read
-	ReportNoise  float64 // slots or jobs
-	WarmUpWork   float64 // part of the longest warming that a worker kept busy needs
-	OneWay       Range   // seconds on the network
-	ListLate     Range   // seconds until news of the list reaches a node
-	PeerDelay    Range
-	PeerLoss     float64
-	Retries      int   // that a client makes of its own
-	Backoff      Range // seconds before one
+	Heaviest     float64 // maximum work of a job as a fraction of its class's timeout
+	AttemptNoise float64 // coefficient of variation between attempts at the same operation
+	HintNoise    float64 // coefficient of variation of the error of cost hints; below 0: no hints
+	ReportEvery  Range   // seconds between load reports
+	ReportDelay  Range   // seconds until a load report can be read
+	ReportNoise  float64 // standard deviation of reported values, in slots or jobs
+	WarmUpWork   float64 // work that warms a worker up, in slot-seconds as a fraction of cores times WarmUpTime
+	OneWay       Range   // one-way network delay, seconds
+	ListLate     Range   // seconds until a change of the endpoint list reaches a node
+	PeerDelay    Range   // delay of messages between nodes, seconds
+	PeerLoss     float64 // fraction of messages between nodes that are lost
+	Retries      int     // retries that a client makes on its own
+	Backoff      Range   // base delay before a retry, seconds; doubles with each
 
 	SlowShare, SlowFactor float64
 	Replace               Replace
@@ -93,28 +93,28 @@
 	Kill                  Kill
 
 	Goal           Goal
-	HandshakePrice float64 // part of the price of a handshake that each new connection counts
+	HandshakePrice float64 // fraction of the price of a handshake charged for each new connection
 }
 
-// check returns an error that names the first invalid parameter: without workers or load, operations would arrive all at
-// once or never.
+// check returns an error that names the first invalid parameter. Without workers or load, the arrival rate would be zero
+// or infinite.
 func (d Day) check() error {
 	for _, c := range []struct {
 		name string
 		v    float64
 	}{{"nodes", float64(d.Nodes)}, {"workers", float64(d.Workers)}, {"length", d.Length}, {"load", d.Load}} {
 		if !(c.v > 0) || math.IsInf(c.v, 0) {
-			return fmt.Errorf("%s: %v, above 0 is wanted", c.name, c.v)
+			return fmt.Errorf("%s is %v, want a finite number above 0", c.name, c.v)
 		}
 	}
 	if len(d.Kinds) == 0 || len(d.Classes) == 0 || len(d.Classes) != len(d.Settings.Classes) {
-		return fmt.Errorf("%d kinds of workers, %d classes of operations, %d in the settings", len(d.Kinds), len(d.Classes),
+		return fmt.Errorf("%d kinds of workers, want at least 1; %d classes of operations, want at least 1 and as many as the %d in the settings", len(d.Kinds), len(d.Classes),
 			len(d.Settings.Classes))
 	}
 	return nil
 }
 
-// meanWork is that of an operation, in slot-seconds at speed 1.
+// meanWork returns the mean work of an operation, in slot-seconds at speed 1.
 func (d Day) meanWork() (mean float64) {
 	for _, c := range d.Classes {
 		slots := 0.0
@@ -126,8 +126,8 @@
 	return mean
 }
 
-// pick draws one of n by their shares; the last has what is left.
-func pick(r *rand.Rand, n int, share func(int) float64) int {
+// drawIndex draws an index below n with the given probabilities. The last index gets the remainder.
+func drawIndex(r *rand.Rand, n int, share func(int) float64) int {
 	at := r.Float64()
 	for i := range n - 1 {
 		if at < share(i) {
--- a/internal/testkit/nodesim/node.go
+++ b/internal/testkit/nodesim/node.go
@@ -9,23 +9,22 @@
 	"ospreybend/balance"
 )
 
-// verdict is how an operation ended at its client.
-type verdict uint8
+// clientResult is the result of an operation as its client sees it.
+type clientResult uint8
 
-// Verdicts.
 const (
-	served verdict = iota
+	served clientResult = iota
 	rejected
 	failed
-	lost // no answer: the connection broke, or no node runs
+	lost // no response: the connection broke, or no node is up
 )
 
 const (
-	messagePriceBytes = 256 // bytes; the unit of a message's price
-	frameBytes        = 16  // bytes that a message has besides its text
+	messagePriceBytes = 256 // size of a message with price 1
+	frameBytes        = 16  // bytes added to the payload of each message
 )
 
-// start starts the node's process with the endpoint list alone.
+// start starts the node's process, which knows nothing but the endpoint list.
 func (n *node) start() error {
 	s := n.world.day.Settings
 	s.Balancers, s.Ordinal = n.world.day.Nodes, n.number
@@ -35,7 +34,7 @@
 	}
 	n.balancer, n.down = b, false
 	n.incarnation++
-	n.ops, n.known = map[balance.RequestID]*operation{}, map[balance.WorkerID]bool{}
+	n.operations, n.connected = map[balance.RequestID]*operation{}, map[balance.WorkerID]bool{}
 	n.listedStart = map[balance.WorkerID]time.Duration{}
 	up := balance.ListUpdate{Kind: balance.ListCached}
 	for _, k := range n.world.workers {
@@ -48,27 +47,27 @@
 	return nil
 }
 
-// kill ends the process: its clients' connections break.
+// kill ends the process. Its clients' connections break, and its attempts are cancelled.
 func (n *node) kill() {
 	n.down = true
-	// In the order of their numbers: a map's own order would differ from run to run.
-	for _, id := range slices.Sorted(maps.Keys(n.ops)) {
-		op := n.ops[id]
-		for _, s := range op.steps {
+	// Sorted, because map order differs between runs and the simulation must be deterministic.
+	for _, id := range slices.Sorted(maps.Keys(n.operations)) {
+		op := n.operations[id]
+		for _, s := range op.attempts {
 			if !s.done {
 				n.world.after(n.world.day.OneWay.seconds(n.world.rng), func() { s.worker.cancel(s) })
 			}
 		}
-		n.world.final(op, lost, 0)
+		n.world.finish(op, lost, 0)
 	}
 }
 
-// begin passes a new operation to the decision module.
-func (n *node) begin(op *operation) {
+// submit passes a new operation to the balancer.
+func (n *node) submit(op *operation) {
 	w := n.world
 	w.lastID++
 	op.id = w.lastID
-	n.ops[op.id] = op
+	n.operations[op.id] = op
 	in := balance.Request{ID: op.id, Class: op.class, Slots: op.slots, Deadline: op.deadline}
 	if op.hint > 0 {
 		in.Cost, in.HasCost = op.hint, true
@@ -76,7 +75,7 @@
 	n.handle(in)
 }
 
-// handle passes an event to the decision module and executes its actions.
+// handle passes an event to the balancer and executes the resulting actions.
 func (n *node) handle(ev balance.Event) {
 	w := n.world
 	for _, a := range n.balancer.Handle(w.now, ev) {
@@ -88,7 +87,7 @@
 		case balance.Fail:
 			n.answer(a.Request, failed, 0)
 		case balance.Cancel:
-			s := n.ops[a.Request].steps[a.Attempt]
+			s := n.operations[a.Request].attempts[a.Attempt]
 			w.after(w.day.OneWay.seconds(w.rng), func() { s.worker.cancel(s) })
 			incarnation := n.incarnation
 			w.after(0, func() {
@@ -113,37 +112,37 @@
 	}
 }
 
-// connect returns the time to open a connection; 0 if there is one.
-func (n *node) connect(id balance.WorkerID) time.Duration {
-	if n.known[id] {
+// connectDelay returns the time to open a connection to a worker, or 0 if one is open.
+func (n *node) connectDelay(id balance.WorkerID) time.Duration {
+	if n.connected[id] {
 		return 0
 	}
-	n.known[id] = true
+	n.connected[id] = true
 	n.world.result.Handshakes++
 	return 4 * n.world.day.OneWay.seconds(n.world.rng)
 }
 
 func (n *node) send(a balance.Send) {
-	w, op, k := n.world, n.ops[a.Request], n.world.byID[a.Worker]
-	s := &attempt{operation: op, number: len(op.steps), node: n, incarnation: n.incarnation, worker: k, sentAt: w.now,
-		remains: op.work * lognormal(w.rng, w.day.AttemptNoise)}
-	op.steps = append(op.steps, s)
-	w.after(n.connect(a.Worker)+w.day.OneWay.seconds(w.rng), func() { k.arrive(s) })
+	w, op, k := n.world, n.operations[a.Request], n.world.byID[a.Worker]
+	s := &attempt{operation: op, number: len(op.attempts), node: n, incarnation: n.incarnation, worker: k, sentAt: w.now,
+		remainingWork: op.work * lognormal(w.rng, w.day.AttemptNoise)}
+	op.attempts = append(op.attempts, s)
+	w.after(n.connectDelay(a.Worker)+w.day.OneWay.seconds(w.rng), func() { k.arrive(s) })
 }
 
 func (n *node) probe(id balance.WorkerID) {
 	w, k := n.world, n.world.byID[id]
 	w.result.Probes++
 	incarnation, began := n.incarnation, w.now
-	w.after(n.connect(id)+w.day.OneWay.seconds(w.rng), func() {
-		if k.silent {
+	w.after(n.connectDelay(id)+w.day.OneWay.seconds(w.rng), func() {
+		if k.unreachable {
 			return
 		}
-		report, outcome := k.shown, balance.Served
+		report, outcome := k.publishedReport, balance.Served
 		if k.state == balance.Gone {
 			report, outcome = nil, balance.ConnectFailed
 		}
-		w.reach(n, incarnation, func() {
+		w.deliver(n, incarnation, func() {
 			n.handle(balance.ProbeDone{Worker: id, Outcome: outcome, Elapsed: w.now - began, Report: report})
 		})
 	})
@@ -168,19 +167,19 @@
 	}
 }
 
-// attemptEnded notifies the decision module of an attempt's outcome, and the client if it was served.
+// attemptEnded passes the outcome of an attempt to the balancer, and ends the operation at the client if it was served.
 func (n *node) attemptEnded(s *attempt, outcome balance.Outcome, report []float32) {
 	if s.operation.ended && outcome == balance.Served {
 		outcome = balance.Cancelled
 	}
 	if outcome == balance.Served {
 		s.operation.servedBy = s
-		n.world.final(s.operation, served, 0)
+		n.world.finish(s.operation, served, 0)
 	}
 	n.handle(balance.AttemptDone{Request: s.operation.id, Attempt: s.number, Worker: s.worker.id, Outcome: outcome,
 		Elapsed: n.world.now - s.sentAt, Over: s.operation.ended, Report: report})
 }
 
-func (n *node) answer(id balance.RequestID, ended verdict, wait time.Duration) {
-	n.world.final(n.ops[id], ended, wait)
+func (n *node) answer(id balance.RequestID, ended clientResult, wait time.Duration) {
+	n.world.finish(n.operations[id], ended, wait)
 }
--- a/internal/testkit/nodesim/scenarios.go
+++ b/internal/testkit/nodesim/scenarios.go
@@ -6,8 +6,8 @@
 	"ospreybend/balance"
 )
 
-// Workshop is a site of two kinds of prep workers with four cores, a queue served in
-// order and cold starts, and three classes of which one must not run twice.
+// Workshop returns a day without faults at a site with two kinds of prep workers, which have four cores, a FIFO queue
+// and cold starts, and three classes of operations, one of which is not idempotent.
 func Workshop(nodes, workers int, seed uint64) Day {
 	class := func(latencyTarget, giveUp int, worth, stretch float64, effect balance.Effect) balance.Class {
 		return balance.Class{LatencyTarget: time.Duration(latencyTarget) * time.Millisecond, Timeout: time.Duration(giveUp) * time.Second,
@@ -39,23 +39,22 @@
 		Backoff: Range{0.012, 0.097}}
 }
 
-// Released is a day on which six in ten prep workers are replaced within 7 s, and one of
-// eight is slow.
+// Released returns the day with a release that replaces 60% of the prep workers within 7 s, and with one in eight slow.
 func (d Day) Released() Day {
 	d.Replace = Replace{At: 7, Within: 7, Share: 0.6, Steps: 4, Drain: Range{3.3, 5.8}}
 	d.SlowShare, d.SlowFactor = 0.125, 5
 	return d
 }
 
-// Returned is a day on which a third of the prep workers is lost for 5 s and returns with
-// cold caches, and one of eight is slow.
+// Returned returns the day with 30% of the prep workers unreachable for 5 s, after which they have cold caches, and
+// with one in eight slow.
 func (d Day) Returned() Day {
 	d.Loss = Loss{At: 7, For: 5, Share: 0.3}
 	d.SlowShare, d.SlowFactor = 0.125, 5
 	return d
 }
 
-// Killed is a day on which most nodes are killed at once during a release.
+// Killed returns the day with 70% of the nodes killed at once 4 s before a release.
 func (d Day) Killed() Day {
 	d.Kill = Kill{At: 10, Down: 2, Share: 0.7}
 	d.Replace = Replace{At: 14, Within: 12, Share: 0.6, Steps: 7, Drain: Range{3.3, 5.8}}
--- a/internal/testkit/nodesim/simulation_test.go
+++ b/internal/testkit/nodesim/simulation_test.go
@@ -18,45 +18,45 @@
 	return r
 }
 
-// The same day gives the same result, another seed another one.
+// The same day must give the same result twice, and another seed a different one.
 func TestPlay_deterministic(t *testing.T) {
 	d := Workshop(20, 15, 3).Killed()
 	a, b := mustPlay(t, d), mustPlay(t, d)
 	if !reflect.DeepEqual(a, b) {
-		t.Errorf("%+v, then %+v", a, b)
+		t.Errorf("same day played twice: first %+v, then %+v", a, b)
 	}
 	if c := mustPlay(t, Workshop(20, 15, 4).Killed()); reflect.DeepEqual(a, c) {
-		t.Error("another seed makes no difference")
+		t.Error("seeds 3 and 4 gave the same result")
 	}
 }
 
-// All that was asked for is booked once, by what became of it.
+// The value of every operation is counted exactly once, by its outcome.
 func TestPlay_everyOperationEnds(t *testing.T) {
 	for name, d := range map[string]Day{"released": Workshop(20, 15, 1).Released(), "returned": Workshop(20, 15, 1).Returned(),
 		"killed": Workshop(20, 15, 1).Killed()} {
 		r := mustPlay(t, d)
 		lost := r.Served + r.RunLate + r.QueueLate + r.PendingLate + r.RejectedValue + r.FailedValue
 		if r.Requests() < 100 || r.Value-lost > 1e-6*r.Value || lost-r.Value > 1e-6*r.Value {
-			t.Errorf("%s: %.0f operations; value %.3f, counted %.3f", name, r.Requests(), r.Value, lost)
+			t.Errorf("%s: %.0f operations, want at least 100; total value %.3f, sum over the outcomes %.3f, want both equal", name, r.Requests(), r.Value, lost)
 		}
 	}
 }
 
-// An invalid day is rejected with the name of the parameter.
+// An invalid day is rejected with an error that names the parameter.
 func TestPlay_invalidDay(t *testing.T) {
 	for name, spoil := range map[string]func(*Day){"nodes": func(d *Day) { d.Nodes = 0 }, "workers": func(d *Day) { d.Workers = -1 },
 		"load": func(d *Day) { d.Load = math.NaN() }, "length": func(d *Day) { d.Length = math.Inf(1) }, "classes": func(d *Day) { d.Classes = nil }} {
 		d := Workshop(2, 2, 1)
 		spoil(&d)
 		if _, err := Play(d); err == nil || !strings.Contains(err.Error(), name) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("invalid %s: got error %v, want one that names it", name, err)
 		}
 	}
 }
 
-// Six in ten prep workers are replaced within 7 s, and all nodes are notified of the warming workers at once: what
-// the sum of them sends to any stays within what it bears, with seven in ten nodes killed and
-// started again meanwhile as without, and with the list late by as long as it may be.
+// During a release that replaces 60% of the prep workers within 7 s, all nodes learn of the new workers at about the same
+// time. Together they must not overload any of them, also if 70% of the nodes are killed and restarted meanwhile, and if
+// the endpoint list has its maximum delay.
 func TestPlay_warmingWorkersNotOverloaded(t *testing.T) {
 	for seed := range uint64(4) {
 		d := Workshop(80, 60, 1+seed).Released()
@@ -67,14 +67,14 @@
 			d.ListLate = Range{6, 6}
 		}
 		if r := mustPlay(t, d); r.Overloaded > 0 || r.MaxWarmUpLoad == 0 {
-			t.Errorf("seed %d: %d overloaded, one got %.2f of its limit", d.Seed, r.Overloaded, r.MaxWarmUpLoad)
+			t.Errorf("seed %d: %d warming workers overloaded, want 0; highest load %.2f of its limit, want above 0", d.Seed, r.Overloaded, r.MaxWarmUpLoad)
 		}
 	}
 }
 
-// A prep worker restarts and the endpoint list reports it late: one among 300 nodes, and a third of them among 80. Nodes
-// that have not been notified may overload it; those that have stay well below its limit. Among 300 nodes it gets far
-// less than it could serve: no node alone may send it much.
+// The endpoint list reports restarted prep workers late: a single worker in a fleet of 300 nodes, and 30% of the workers
+// in one of 80 nodes. Nodes that have not been notified may overload a restarted worker; those that have must stay well
+// below its limit. With 300 nodes a worker gets far less than it could serve, since each node may send only little.
 func TestPlay_warmingWorkerListedLate(t *testing.T) {
 	for seed := range uint64(3) {
 		one := Workshop(300, 60, 1+seed)
@@ -83,34 +83,34 @@
 		many.ListLate = Range{1, 6}
 		for name, d := range map[string]Day{"one": one, "many": many} {
 			if r := mustPlay(t, d); r.Overloaded > 0 || r.MaxWarmUpLoad == 0 || r.MaxWarmUpLoad > 0.4 {
-				t.Errorf("%s, seed %d: %d overloaded, %d by nodes that had not been notified; one got %.2f of its limit", name, d.Seed, r.Overloaded, r.OverloadedUnknown, r.MaxWarmUpLoad)
+				t.Errorf("%s, seed %d: %d overloaded by notified nodes, want 0 (%d others); highest load %.2f of its limit, want above 0 and at most 0.4", name, d.Seed, r.Overloaded, r.OverloadedUnknown, r.MaxWarmUpLoad)
 			}
 		}
 	}
 }
 
-// A class with about a twentieth of the value is served at least half as well as all classes together, under overload
-// and with a third of the prep workers lost and restarted.
+// A class with about 5% of the total value must be served at least half as well as all classes together, under overload
+// and with 30% of the prep workers lost and restarted.
 func TestPlay_noClassStarved(t *testing.T) {
 	for seed := range uint64(2) {
 		over := Workshop(60, 40, 1+seed)
 		over.Load = 1.2
 		for name, d := range map[string]Day{"overload": over, "returned": Workshop(60, 40, 1+seed).Returned()} {
-			for class, factor := range []float64{0.45, 0.18} { // the two that may be repeated, in turn
+			for class, factor := range []float64{0.45, 0.18} { // the two idempotent classes in turn
 				d.Settings.Classes = slices.Clone(Workshop(1, 1, 1).Settings.Classes)
 				d.Settings.Classes[class].Value *= factor
 				r := mustPlay(t, d)
 				value, part, all := r.ClassValue[class]/r.Value, r.ClassServed[class]/r.ClassValue[class], r.Served/r.Value
 				if part < all/2 || value < 0.03 || value > 0.08 {
-					t.Errorf("%s, seed %d: class %d, %.3f of the value, is served %.3f, all together %.3f", name, d.Seed, class, value, part, all)
+					t.Errorf("%s, seed %d: class %d with %.3f of the value (want 0.03 to 0.08): fraction %.3f served, all classes %.3f, want at least half of that", name, d.Seed, class, value, part, all)
 				}
 			}
 		}
 	}
 }
 
-// A worker of four slots serves in order: the head waits until it fits, and so does who comes behind
-// it. A warming worker is slow and gets warm by its work.
+// A worker with four slots starts jobs in FIFO order: a job that does not fit blocks those queued behind it. A warming
+// worker is slow and warms up through its work.
 func TestWorker_servesInOrder(t *testing.T) {
 	d := Workshop(1, 1, 1)
 	d.Kinds = []Kind{{Share: 1, Cores: 4, Speed: Range{1, 1}, SlotsPerCore: Range{1, 1}, QueuePerCore: Range{8, 8},
@@ -125,14 +125,14 @@
 	var steps []*attempt
 	send := func(slots, work float64) {
 		op := &operation{slots: slots, work: work, deadline: w.now + time.Hour}
-		op.first, op.ended = op, true // no client waits for it
-		s := &attempt{operation: op, node: n, worker: k, sentAt: w.now, remains: work}
+		op.first, op.ended = op, true // no client waits for the result
+		s := &attempt{operation: op, node: n, worker: k, sentAt: w.now, remainingWork: work}
 		steps = append(steps, s)
 		k.arrive(s)
 	}
 	began := func() (at []float64) {
 		for _, s := range steps {
-			at = append(at, math.Round((s.began-dayStart).Seconds()*100)/100)
+			at = append(at, math.Round((s.startedAt-dayStart).Seconds()*100)/100)
 		}
 		return at
 	}
@@ -141,7 +141,7 @@
 	send(1, 1)
 	w.run(dayStart + 10*time.Second)
 	if want := []float64{0, 1, 3}; !slices.Equal(began(), want) {
-		t.Errorf("began at %v, not %v", began(), want)
+		t.Errorf("jobs started at %v s, want %v s", began(), want)
 	}
 	k.restart()
 	steps = nil
@@ -149,8 +149,8 @@
 	send(4, 1)
 	send(4, 1)
 	w.run(dayStart + 40*time.Second)
-	first, second := steps[1].began-steps[0].began, steps[2].began-steps[1].began
+	first, second := steps[1].startedAt-steps[0].startedAt, steps[2].startedAt-steps[1].startedAt
 	if first < 1500*time.Millisecond || first > 2500*time.Millisecond || second > 1200*time.Millisecond {
-		t.Errorf("cold, a job of a second took %v, the next %v", first, second)
+		t.Errorf("jobs of 1 s after a restart: the first took %v, want 1.5s to 2.5s; the second %v, want at most 1.2s", first, second)
 	}
 }
--- a/internal/testkit/nodesim/world.go
+++ b/internal/testkit/nodesim/world.go
@@ -9,13 +9,13 @@
 	"ospreybend/internal/node/timerqueue"
 )
 
-// dayStart is the clock at the start of a day: zero means long ago in listings.
+// dayStart is the simulated time at the start of a day. It is not 0, which means "long ago" in worker listings.
 const dayStart = time.Hour
 
-// operation is one attempt of a client's request.
+// operation is one try of a client's request; each retry by the client is another operation.
 type operation struct {
 	id       balance.RequestID
-	first    *operation // the client's first attempt
+	first    *operation // the client's first try; the operation itself if it is that
 	class    int
 	slots    float64
 	work     float64
@@ -23,13 +23,13 @@
 	arrived  time.Duration
 	deadline time.Duration
 	value    float64
-	attempts int
-	steps    []*attempt
-	servedBy *attempt // that served it
+	retries  int
+	attempts []*attempt
+	servedBy *attempt // the attempt that served it
 	ended    bool
 }
 
-// node is an instance of the real decision module, with the part of its process that the module calls.
+// node is an instance of the real balancer with a model of the process around it.
 type node struct {
 	world       *world
 	number      int
@@ -37,15 +37,16 @@
 	balancer    *balance.Balancer
 	down        bool
 	incarnation int
-	ops         map[balance.RequestID]*operation
-	known       map[balance.WorkerID]bool          // workers to which it has a connection
-	listedStart map[balance.WorkerID]time.Duration // its last start, as the endpoint list has reported it to this node
+	operations  map[balance.RequestID]*operation
+	connected   map[balance.WorkerID]bool          // workers with an open connection
+	listedStart map[balance.WorkerID]time.Duration // start time of each worker as last reported to this node by the endpoint list
 }
 
+// world is the state of a simulation.
 type world struct {
 	day     Day
 	rng     *rand.Rand
-	traffic *rand.Rand // of its own: two versions of the decisions meet the same operations
+	traffic *rand.Rand // separate source, so that two versions of the balancer get the same operations
 	timers  timerqueue.Queue
 	now     time.Duration
 	nodes   []*node
@@ -55,20 +56,20 @@
 	result  Result
 }
 
-// Result counts the outcomes of a day.
+// Result holds the totals of a day.
 type Result struct {
-	Value, Served              float64 // of all operations, and of those answered in time
+	Value, Served              float64 // value of all operations, and of those served within their latency target
 	ClassValue, ClassServed    []float64
-	WindowValue, WindowServed  []float64 // by second
+	WindowValue, WindowServed  []float64 // by second of arrival
 	InTime, Late, Rejected     int
 	Failed, Lost               int
 	Handshakes, Probes         int
-	Messages                   float64 // of full length
-	Overloaded                 int     // workers overloaded while warming up, mostly by nodes that had been notified: the rule is broken
-	OverloadedUnknown          int     // the same by nodes that had not been notified
-	MaxWarmUpLoad              float64 // highest load of one, as a part of the limit, mostly by nodes that had been notified
-	RunLate, QueueLate         float64 // value of late operations, by the cause
-	PendingLate, RejectedValue float64
+	Messages                   float64 // in units of messagePriceBytes
+	Overloaded                 int     // warming workers overloaded mainly by nodes that had been notified of their start: violations of the rule
+	OverloadedUnknown          int     // other overloaded warming workers
+	MaxWarmUpLoad              float64 // highest load of a warming worker as a fraction of its limit, where notified nodes sent most of it
+	RunLate, QueueLate         float64 // value of late operations by cause: running time, time in a worker's queue
+	PendingLate, RejectedValue float64 // value of operations late because of the time before they were sent, and of rejected ones
 	FailedValue                float64
 }
 
@@ -89,7 +90,7 @@
 		}
 	}
 	w.scheduleFaults()
-	w.arrivals()
+	w.scheduleArrivals()
 	longest := time.Duration(0)
 	for _, c := range day.Settings.Classes {
 		longest = max(longest, c.Timeout)
@@ -106,7 +107,7 @@
 			WindowValue: make([]float64, span), WindowServed: make([]float64, span)}}
 }
 
-// run runs the simulation until a time.
+// run advances the simulation to the given time.
 func (w *world) run(until time.Duration) {
 	for at, ok := w.timers.Next(); ok && at <= until; at, ok = w.timers.Next() {
 		w.now = at
@@ -117,8 +118,8 @@
 
 func (w *world) after(span time.Duration, f func()) { w.timers.Add(w.now+max(span, 0), f) }
 
-// reach delivers something to a node over the network, unless the node has restarted since it asked.
-func (w *world) reach(n *node, incarnation int, f func()) {
+// deliver calls f after the network delay, unless the node is down or no longer has the given incarnation.
+func (w *world) deliver(n *node, incarnation int, f func()) {
 	w.after(w.day.OneWay.seconds(w.rng), func() {
 		if !n.down && n.incarnation == incarnation {
 			f()
@@ -128,19 +129,19 @@
 
 func (w *world) addWorker(started time.Duration) *worker {
 	d := w.day
-	kind := pick(w.rng, len(d.Kinds), func(i int) float64 { return d.Kinds[i].Share })
+	kind := drawIndex(w.rng, len(d.Kinds), func(i int) float64 { return d.Kinds[i].Share })
 	c := d.Kinds[kind]
 	k := &worker{world: w, id: balance.WorkerID(w.rng.Uint64() | 1), kind: kind, speed: c.Speed.draw(w.rng), cores: c.Cores,
 		slots: float64(int(c.Cores * c.SlotsPerCore.draw(w.rng))), queueCapacity: int(c.Cores * c.QueuePerCore.draw(w.rng)),
-		warmUpFloor: c.WarmUpFloor.draw(w.rng), warmUpTime: c.WarmUpTime.seconds(w.rng), started: started, slow: 1, at: w.now}
+		warmUpFloor: c.WarmUpFloor.draw(w.rng), warmUpTime: c.WarmUpTime.seconds(w.rng), started: started, slowdown: 1, accountedUntil: w.now}
 	w.workers = append(w.workers, k)
 	w.byID[k.id] = k
-	w.after(seconds(d.ReportEvery.Min*w.rng.Float64()), k.publish)
+	w.after(seconds(d.ReportEvery.Min*w.rng.Float64()), k.publishReport)
 	return k
 }
 
-// arrivals has operations come as they would of many independent clients.
-func (w *world) arrivals() {
+// scheduleArrivals schedules the arrival of operations as a Poisson process, as from many independent clients.
+func (w *world) scheduleArrivals() {
 	d := w.day
 	capacity, mean := 0.0, d.meanWork()
 	for _, k := range w.workers {
@@ -152,17 +153,17 @@
 		if w.now > dayStart+seconds(d.Length) {
 			return
 		}
-		w.arrive()
+		w.addOperation()
 		w.after(seconds(w.traffic.ExpFloat64()/rate), next)
 	}
 	w.after(seconds(w.traffic.ExpFloat64()/rate), next)
 }
 
-func (w *world) arrive() {
+func (w *world) addOperation() {
 	d := w.day
-	class := pick(w.traffic, len(d.Classes), func(i int) float64 { return d.Classes[i].Share })
+	class := drawIndex(w.traffic, len(d.Classes), func(i int) float64 { return d.Classes[i].Share })
 	c, giveUp := d.Classes[class], d.Settings.Classes[class].Timeout
-	slots := float64(int(1) << pick(w.traffic, len(c.Slots), func(i int) float64 { return c.Slots[i] }))
+	slots := float64(int(1) << drawIndex(w.traffic, len(c.Slots), func(i int) float64 { return c.Slots[i] }))
 	op := &operation{class: class, slots: slots, work: min(c.Work*lognormal(w.traffic, c.CV), d.Heaviest*giveUp.Seconds()),
 		arrived: w.now, deadline: w.now + giveUp}
 	op.first = op
@@ -179,7 +180,7 @@
 	w.dispatch(op)
 }
 
-// dispatch passes an operation to a node that is up, drawn by the nodes' weights.
+// dispatch submits an operation to a running node, drawn in proportion to the nodes' weights.
 func (w *world) dispatch(op *operation) {
 	sum := 0.0
 	for _, n := range w.nodes {
@@ -193,15 +194,15 @@
 			continue
 		}
 		if at -= n.weight; at <= 0 {
-			n.begin(op)
+			n.submit(op)
 			return
 		}
 	}
-	w.final(op, lost, 0)
+	w.finish(op, lost, 0)
 }
 
-// final ends an operation at its client, which may retry it if it was not served.
-func (w *world) final(op *operation, ended verdict, wait time.Duration) {
+// finish ends an operation at its client, which may retry it if it was not served.
+func (w *world) finish(op *operation, ended clientResult, wait time.Duration) {
 	if op.ended {
 		return
 	}
@@ -225,14 +226,14 @@
 	}
 }
 
-// retry has the client send the operation again after a backoff, if it has retries and time left.
+// retry sends the operation again after a backoff if the client has retries and time left, and reports whether it does.
 func (w *world) retry(op *operation, wait time.Duration) bool {
 	first := op.first
-	if first.attempts >= w.day.Retries {
+	if first.retries >= w.day.Retries {
 		return false
 	}
-	first.attempts++
-	pause := max(wait, w.day.Backoff.seconds(w.rng)<<first.attempts)
+	first.retries++
+	pause := max(wait, w.day.Backoff.seconds(w.rng)<<first.retries)
 	if pause >= first.deadline-w.now {
 		return false
 	}
@@ -242,7 +243,7 @@
 	return true
 }
 
-// countServed counts a served operation: in time, or late by the largest of its causes.
+// countServed counts a served operation as in time, or as late by its main cause.
 func (w *world) countServed(op *operation) {
 	result, first, class := &w.result, op.first, w.day.Settings.Classes[op.class]
 	took := (w.now - first.arrived).Seconds()
@@ -255,7 +256,7 @@
 		return
 	}
 	result.Late++
-	queued := (op.servedBy.began - op.servedBy.sentAt).Seconds()
+	queued := (op.servedBy.startedAt - op.servedBy.sentAt).Seconds()
 	switch pending := (op.servedBy.sentAt - first.arrived).Seconds(); {
 	case took-pending <= latencyTarget && pending > queued:
 		result.PendingLate += op.value
@@ -266,12 +267,13 @@
 	}
 }
 
-// Requests returns the number of operations, without the clients' retries.
+// Requests returns the number of client requests, without retries.
 func (r Result) Requests() float64 {
 	return float64(r.InTime + r.Late + r.Rejected + r.Failed + r.Lost)
 }
 
-// G returns the day's score: the served value of the day, of its worst 10 s and of its worst class, less the prices.
+// G returns the day's score: the weighted fractions of value served over the day, in its worst 10 s and for its worst
+// class, less the prices of handshakes, probes and messages per request.
 func (r Result) G(day Day) float64 {
 	if r.Value == 0 {
 		return 0
@@ -297,7 +299,7 @@
 	return day.Goal.Day*r.Served/r.Value + day.Goal.WorstWindow*window + day.Goal.WorstClass*worst - price/r.Requests()
 }
 
-// scheduleFaults schedules the day's faults.
+// scheduleFaults schedules the day's slow workers, replacements, losses and node kills.
 func (w *world) scheduleFaults() {
 	d := w.day
 	at := func(s float64, f func()) { w.timers.Add(dayStart+seconds(s), f) }
@@ -307,7 +309,7 @@
 		return all[:int(share*float64(len(all))+0.5)]
 	}
 	for _, k := range some(d.SlowShare) {
-		k.slow = d.SlowFactor
+		k.slowdown = d.SlowFactor
 	}
 	if r := d.Replace; r.Share > 0 {
 		for i, k := range some(r.Share) {
@@ -318,7 +320,7 @@
 	if l := d.Loss; l.Share > 0 {
 		for _, k := range some(l.Share) {
 			at(l.At, k.disconnect)
-			at(l.At+l.For, func() { k.restart(); w.list(k) })
+			at(l.At+l.For, func() { k.restart(); w.announce(k) })
 		}
 	}
 	if x := d.Kill; x.Share > 0 {
@@ -331,23 +333,23 @@
 	}
 }
 
-// replace drains a worker and brings up its successor.
+// replace drains a worker and starts its successor.
 func (w *world) replace(k *worker, drain float64) {
 	k.advance()
 	k.state = balance.Draining
-	k.handBack()
-	w.list(k)
+	k.rejectQueued()
+	w.announce(k)
 	fresh := w.addWorker(w.now)
-	w.list(fresh)
+	w.announce(fresh)
 	w.after(seconds(drain), func() {
 		k.kill()
 		k.state = balance.Gone
-		w.list(k)
+		w.announce(k)
 	})
 }
 
-// list notifies all nodes of a worker's state, with the list's delay.
-func (w *world) list(k *worker) {
+// announce reports a worker's state to all nodes with the delay of the endpoint list.
+func (w *world) announce(k *worker) {
 	l := k.listing()
 	late := w.day.ListLate.draw(w.rng)
 	for _, n := range w.nodes {
