--- a/internal/testkit/scalereport/bounds.go
+++ b/internal/testkit/scalereport/bounds.go
@@ -7,14 +7,14 @@
 	"strings"
 )
 
-// Bounds are what a run may use of the machine.
+// Bounds holds the maximum resources that a run may use.
 type Bounds struct {
-	Memory      int64 // bytes, half of the machine's
-	Descriptors int   // of this process
+	Memory      int64 // bytes; half of the machine's memory
+	Descriptors int   // file descriptors of this process
 	Processes   int
 }
 
-// Need is what a fleet uses of the machine.
+// Need holds the estimated resources that a fleet uses.
 type Need struct {
 	Memory      int64
 	Descriptors int
@@ -22,28 +22,28 @@
 }
 
 const (
-	processesMost        = 200
-	descriptorsPerNode   = 3 // the feed's connection, the monitoring socket, a margin
+	maxProcesses         = 200
+	descriptorsPerNode   = 3 // feed connection, monitoring socket, one spare
 	descriptorsPerWorker = 2
-	descriptorsSpare     = 200
-	memoryBase           = 64 << 20 // bytes of this process without any of the fleet
+	spareDescriptors     = 200
+	memoryBase           = 64 << 20 // bytes of this process without hollow nodes and workers
 	memoryPerHollow      = 192 << 10
 	memoryPerProcess     = 40 << 20
-	memoryPerRoute       = 16 << 10 // in all servers and real edges, a process each
+	memoryPerRoute       = 16 << 10 // bytes in each server, agent and proxy process
 )
 
-// NeedOf estimates what a fleet uses.
+// NeedOf estimates the resources of a fleet.
 func NeedOf(size Size, servers, edges, routes int) Need {
 	processes := servers + 2*edges
 	return Need{
 		Memory: memoryBase + int64(size.Nodes+size.Workers)*memoryPerHollow +
 			int64(processes)*(memoryPerProcess+int64(routes)*memoryPerRoute),
-		Descriptors: descriptorsSpare + size.Nodes*descriptorsPerNode + size.Workers*descriptorsPerWorker,
+		Descriptors: spareDescriptors + size.Nodes*descriptorsPerNode + size.Workers*descriptorsPerWorker,
 		Processes:   processes,
 	}
 }
 
-// Check returns an error that names the bound that a need exceeds, or nil.
+// Check returns an error that names the first exceeded bound, or nil.
 func (b Bounds) Check(need Need) error {
 	switch {
 	case need.Memory > b.Memory:
@@ -56,15 +56,15 @@
 	return nil
 }
 
-// BoundsOf returns the bounds on a machine with so much memory and a limit of descriptors.
+// BoundsOf returns the bounds for a machine with the given memory in bytes and limit of file descriptors.
 func BoundsOf(memory int64, descriptors int) Bounds {
-	return Bounds{Memory: memory / 2, Descriptors: descriptors, Processes: processesMost}
+	return Bounds{Memory: memory / 2, Descriptors: descriptors, Processes: maxProcesses}
 }
 
-// ErrSizes is returned for an invalid list of sizes.
+// ErrSizes is returned by ParseSizes for an invalid list.
 var ErrSizes = errors.New(`scale: sizes are NODESxWORKERS joined by commas, such as "30x60,100x200"`)
 
-// ParseSizes reads a list of sizes.
+// ParseSizes parses a comma-separated list of sizes, such as "30x60,100x200".
 func ParseSizes(text string) ([]Size, error) {
 	var sizes []Size
 	for part := range strings.SplitSeq(text, ",") {
--- a/internal/testkit/scalereport/doc.go
+++ b/internal/testkit/scalereport/doc.go
@@ -1,4 +1,4 @@
-// Package scalereport defines how a run of a fleet on one machine is measured: the figures of a process,
-// percentiles, the fit of a figure to the fleet's size, the bounds of a run, the result and its plot. It has
-// no clock and no I/O but the writing of the result; package scalerun runs the fleets.
+// Package scalereport evaluates scale measurements of fleets on one machine: resource usage of processes, percentiles,
+// linear fits over the fleet's size, resource bounds of a run, and the result with its plot. It uses no clock and does
+// no I/O except writing the result; package scalerun runs the fleets.
 package scalereport
--- a/internal/testkit/scalereport/fit.go
+++ b/internal/testkit/scalereport/fit.go
@@ -11,15 +11,15 @@
 	Workers int `json:"workers"`
 }
 
-// Observation is one figure that was measured at a size.
+// Observation is the value of a figure measured at a fleet size.
 type Observation struct {
 	Size  Size
 	Value float64
 }
 
-// Fit is a figure as a function of the size: Base + PerNode*nodes + PerWorker*workers, by least squares.
-// Where the measured sizes do not distinguish nodes from workers, PerWorker is 0 and Together is true:
-// PerNode then counts a node with its workers.
+// Fit is a least squares fit of a figure: Base + PerNode*nodes + PerWorker*workers. If nodes and workers are nearly
+// proportional in the measured sizes, their effects cannot be separated: Together is then true, PerWorker is 0 and
+// PerNode covers a node with its workers.
 type Fit struct {
 	Base         float64 `json:"base"`
 	PerNode      float64 `json:"perNode"`
@@ -28,19 +28,19 @@
 	Residual     float64 `json:"residual"` // standard deviation of the residuals
 	Observations int     `json:"observations"`
 
-	inverse [][]float64 // of the normal equations' matrix
+	inverse [][]float64 // inverse of the matrix of the normal equations
 }
 
 const (
-	leastOver   = 1e-9 // relative size of a pivot below which the equations do not decide
-	quantileFar = 1.96 // of the normal distribution, two-sided 95%
+	minRelativePivot = 1e-9 // at or below this fraction of its diagonal element a pivot means a singular matrix
+	normalQuantile   = 1.96 // two-sided 95% quantile of the normal distribution
 )
 
-// studentQuantiles are those of the t distribution, two-sided 95%, for 1 and more degrees of freedom.
+// studentQuantiles holds the two-sided 95% quantiles of Student's t distribution for 1 to 30 degrees of freedom.
 var studentQuantiles = []float64{12.71, 4.30, 3.18, 2.78, 2.57, 2.45, 2.36, 2.31, 2.26, 2.23, 2.20, 2.18, 2.16,
 	2.14, 2.13, 2.12, 2.11, 2.10, 2.09, 2.09, 2.08, 2.07, 2.07, 2.06, 2.06, 2.06, 2.05, 2.05, 2.05, 2.04}
 
-// FitTo fits observations; ok is false where they are too few or all at one size.
+// FitTo fits observations. ok is false if there are too few or all have the same size.
 func FitTo(observations []Observation) (fit Fit, ok bool) {
 	if fit, ok := fitTerms(observations, 3); ok && !proportional(observations) {
 		return fit, true
@@ -50,7 +50,7 @@
 	return fit, ok
 }
 
-// proportional reports whether all sizes have about as many workers to a node.
+// proportional reports whether all sizes have about the same number of workers per node.
 func proportional(observations []Observation) bool {
 	for _, one := range observations {
 		if proportionsDiffer(one.Size, observations[0].Size) {
@@ -60,17 +60,18 @@
 	return true
 }
 
-// proportionsDiffer reports whether two sizes differ by half or more in their workers to a node.
+// proportionsDiffer reports whether the workers per node of two sizes differ by a factor of 1.5 or more.
 func proportionsDiffer(one, other Size) bool {
 	left, right := one.Workers*other.Nodes, other.Workers*one.Nodes
 	return left != right && 2*max(left, right) >= 3*min(left, right)
 }
 
+// terms returns the first count terms of the fit: 1, nodes, workers.
 func terms(size Size, count int) []float64 {
 	return []float64{1, float64(size.Nodes), float64(size.Workers)}[:count]
 }
 
-// fitTerms solves the normal equations for the first terms.
+// fitTerms solves the normal equations for the first count terms.
 func fitTerms(observations []Observation, count int) (Fit, bool) {
 	if len(observations) < count {
 		return Fit{}, false
@@ -120,8 +121,8 @@
 	return f.Base + f.PerNode*float64(size.Nodes) + f.PerWorker*float64(size.Workers)
 }
 
-// At returns the figure at a size and the half width of the interval in which a single measurement there lies
-// in 95 of 100 cases, if the residuals are noise. The half width is NaN without degrees of freedom.
+// At returns the fitted value at a size and the half width of the 95% prediction interval for a single measurement,
+// which assumes normally distributed residuals. The half width is NaN without degrees of freedom.
 func (f Fit) At(size Size) (value, half float64) {
 	row := terms(size, len(f.inverse))
 	spread := 1.0
@@ -138,12 +139,12 @@
 	case freedom < 1:
 		return math.NaN()
 	case freedom > len(studentQuantiles):
-		return quantileFar
+		return normalQuantile
 	}
 	return studentQuantiles[freedom-1]
 }
 
-// invert returns the inverse of a small symmetric matrix by elimination; ok is false where there is none.
+// invert returns the inverse of a small symmetric matrix by Gauss-Jordan elimination. ok is false if it is singular.
 func invert(matrix [][]float64) (inverse [][]float64, ok bool) {
 	count := len(matrix)
 	rows := make([][]float64, count)
@@ -152,7 +153,7 @@
 		rows[i][count+i] = 1
 	}
 	for i := range rows {
-		if math.Abs(rows[i][i]) <= leastOver*math.Abs(matrix[i][i]) {
+		if math.Abs(rows[i][i]) <= minRelativePivot*math.Abs(matrix[i][i]) {
 			return nil, false
 		}
 		scaleRow(rows[i], 1/rows[i][i])
@@ -180,7 +181,7 @@
 	}
 }
 
-// Percentiles sum up a set of times in milliseconds.
+// Percentiles summarises a set of times in milliseconds.
 type Percentiles struct {
 	Count int     `json:"count"`
 	P50   float64 `json:"p50"`
@@ -189,7 +190,7 @@
 	Max   float64 `json:"max"`
 }
 
-// PercentilesOf returns the percentiles by nearest rank.
+// PercentilesOf computes percentiles by the nearest-rank method.
 func PercentilesOf(values []float64) Percentiles {
 	if len(values) == 0 {
 		return Percentiles{}
--- a/internal/testkit/scalereport/plot.go
+++ b/internal/testkit/scalereport/plot.go
@@ -18,35 +18,35 @@
 	marginTop    = 34
 	marginBottom = 38
 	titleHeight  = 30
-	ticksLeast   = 4
+	minTicks     = 4
 	dotRadius    = 3
-	headroom     = 1.08 // of an axis above the greatest value
-	legendRight  = 200  // pixels from the panel's right end
+	headroom     = 1.08 // length of an axis relative to its greatest value
+	legendRight  = 200  // distance of the legend from the panel's right edge
 )
 
-// series is one colour of a panel.
+// series is a set of points drawn in one colour.
 type series struct {
 	label  string
 	colour string
 	points []Observation
-	line   bool // join the points
+	line   bool // connect the points
 }
 
-// panel is one plot over the number of nodes.
+// panel is one chart over the number of nodes.
 type panel struct {
 	title  string
 	series []series
 	fit    *Trend
-	target Size    // sizes with about as many workers to a node are filled and joined
-	width  float64 // of the axis, in nodes
-	height float64 // of the axis
+	target Size    // points with about the same workers per node are filled, and connected in lines
+	width  float64 // end of the horizontal axis, in nodes
+	height float64 // end of the vertical axis
 }
 
-// plotted are the trends that have a panel.
+// plotted lists the trends that get a panel.
 var plotted = []string{"all keepers: processor at rest", "keeper: memory at rest", "all keepers: written at rest",
 	"agent: processor at rest", "agent: memory at rest"}
 
-// WriteSVG writes the plot of a run.
+// WriteSVG writes the charts of a run as SVG.
 func (r Result) WriteSVG(out io.Writer) error {
 	panels := r.panels()
 	rows := (len(panels) + panelColumns - 1) / panelColumns
@@ -82,12 +82,12 @@
 		r.timesPanel("all killed: whole again, ms", func(s Step) Percentiles { return s.Blackout }))
 	for i := range panels {
 		panels[i].width, panels[i].target = float64(r.Target.Nodes), r.Target
-		panels[i].measure()
+		panels[i].setAxes()
 	}
 	return panels
 }
 
-// timesPanel returns a panel with the median, the 99th percentile and the maximum of a time at each step.
+// timesPanel returns a panel with the median, 99th percentile and maximum of a time at each step.
 func (r Result) timesPanel(title string, of func(Step) Percentiles) panel {
 	rows := []series{{label: "max", colour: "#d62728", line: true}, {label: "p99", colour: "#ff7f0e", line: true},
 		{label: "p50", colour: "#2ca02c", line: true}}
@@ -100,8 +100,8 @@
 	return panel{title: title, series: rows}
 }
 
-// measure sets the ends of the axes.
-func (p *panel) measure() {
+// setAxes sets the ends of the axes.
+func (p *panel) setAxes() {
 	for _, one := range p.series {
 		for _, point := range one.points {
 			p.width, p.height = max(p.width, float64(point.Size.Nodes)), max(p.height, point.Value)
@@ -123,14 +123,14 @@
 
 func (p panel) draw(out *strings.Builder) {
 	fmt.Fprintf(out, `<text x="%d" y="18" font-size="12">%s</text>`+"\n", marginLeft, html.EscapeString(p.title))
-	p.axes(out)
+	p.drawAxes(out)
 	for i, one := range p.series {
 		if one.line {
-			p.joined(out, one)
+			p.drawLine(out, one)
 		}
 		for _, point := range one.points {
 			fill := "white"
-			if p.alike(point.Size) {
+			if p.matchesTarget(point.Size) {
 				fill = one.colour
 			}
 			fmt.Fprintf(out, `<circle cx="%.1f" cy="%.1f" r="%d" fill="%s" stroke="%s"/>`+"\n",
@@ -139,16 +139,16 @@
 		fmt.Fprintf(out, `<text x="%d" y="%d" fill="%s">%s</text>`+"\n", panelWidth-legendRight, marginTop+4+13*i, one.colour, one.label)
 	}
 	if p.fit != nil && len(p.series[0].points) > 0 {
-		p.fitted(out)
+		p.drawFit(out)
 	}
 }
 
-// alike reports whether a size has about as many workers to a node as the target.
-func (p panel) alike(size Size) bool {
+// matchesTarget reports whether a size has about the same number of workers per node as the target.
+func (p panel) matchesTarget(size Size) bool {
 	return !proportionsDiffer(size, p.target)
 }
 
-func (p panel) axes(out *strings.Builder) {
+func (p panel) drawAxes(out *strings.Builder) {
 	for value, step := 0.0, tickStep(p.height); value <= p.height; value += step {
 		y := p.y(value)
 		fmt.Fprintf(out, `<line x1="%d" y1="%.1f" x2="%d" y2="%.1f" stroke="#ddd"/>`+"\n", marginLeft, y, panelWidth-marginRight, y)
@@ -160,29 +160,30 @@
 	fmt.Fprintf(out, `<text x="%d" y="%d" text-anchor="end">nodes</text>`+"\n", panelWidth-marginRight, panelHeight-8)
 }
 
-// tickStep returns 1, 2 or 5 times a power of ten, so that an axis has ticksLeast or more of them.
+// tickStep returns a distance between ticks of 1, 2 or 5 times a power of ten that gives at least minTicks ticks.
 func tickStep(length float64) float64 {
-	power := math.Pow(10, math.Floor(math.Log10(length/ticksLeast)))
+	power := math.Pow(10, math.Floor(math.Log10(length/minTicks)))
 	for _, factor := range []float64{5, 2} {
-		if factor*power*ticksLeast <= length {
+		if factor*power*minTicks <= length {
 			return factor * power
 		}
 	}
 	return power
 }
 
-func (p panel) joined(out *strings.Builder, one series) {
+// drawLine connects the points that match the target's workers per node.
+func (p panel) drawLine(out *strings.Builder, one series) {
 	var at []string
 	for _, point := range one.points {
-		if p.alike(point.Size) {
+		if p.matchesTarget(point.Size) {
 			at = append(at, fmt.Sprintf("%.1f,%.1f", p.x(float64(point.Size.Nodes)), p.y(point.Value)))
 		}
 	}
 	fmt.Fprintf(out, `<polyline points="%s" fill="none" stroke="%s"/>`+"\n", strings.Join(at, " "), one.colour)
 }
 
-// fitted draws the fit from the smallest size to the target, with as many workers to a node as between these.
-func (p panel) fitted(out *strings.Builder) {
+// drawFit draws the fit as a straight line from the first measured size to the largest one.
+func (p panel) drawFit(out *strings.Builder) {
 	first := p.series[0].points[0].Size
 	last := p.series[0].points[0]
 	for _, point := range p.series[0].points {
--- a/internal/testkit/scalereport/process.go
+++ b/internal/testkit/scalereport/process.go
@@ -7,51 +7,51 @@
 	"time"
 )
 
-// ErrProcessFile is returned for a file of a process that cannot be read as expected.
-var ErrProcessFile = errors.New("scale: unexpected form of a process's file")
+// ErrProcessFile is returned for a /proc/PID/stat file in an unexpected format.
+var ErrProcessFile = errors.New("scale: /proc/PID/stat has an unexpected format")
 
-// Counters are a process's use since its start.
+// Counters holds the resource counters of a process since its start.
 type Counters struct {
-	Processor time.Duration // in user and system mode
-	Resident  int64         // bytes now
-	Peak      int64         // bytes at most so far
-	Read      int64         // bytes by read calls, of sockets and files
-	Written   int64         // bytes by write calls
-	Reads     int64         // calls
-	Writes    int64
-	Switches  int64 // how often its threads have waited
+	Processor time.Duration // CPU time in user and system mode
+	Resident  int64         // resident bytes now
+	Peak      int64         // highest resident bytes so far
+	Read      int64         // bytes returned by read calls on sockets and files
+	Written   int64         // bytes passed to write calls
+	Reads     int64         // read calls
+	Writes    int64         // write calls
+	Switches  int64         // voluntary context switches of its threads
 }
 
 const (
-	ticksPerSecond = 100 // of /proc/PID/stat
-	afterName      = ") "
-	fieldUser      = 11 // of /proc/PID/stat, counted from the state behind the name
-	fieldSystem    = 12
+	ticksPerSecond = 100 // unit of the times in /proc/PID/stat
+	nameEnd        = ") "
+	fieldUser      = 11 // utime in /proc/PID/stat, counted from the state field after the name
+	fieldSystem    = 12 // stime
 	kilobyte       = 1024
-	decimal        = 10
-	bits           = 64
+	decimalBase    = 10
+	int64Bits      = 64
 )
 
-// ProcessorTime reads the processor time out of /proc/PID/stat.
+// ProcessorTime parses the CPU time from the content of /proc/PID/stat.
 func ProcessorTime(stat string) (time.Duration, error) {
-	end := strings.LastIndex(stat, afterName) // a name may contain anything
+	end := strings.LastIndex(stat, nameEnd) // the name may contain any characters
 	if end < 0 {
 		return 0, ErrProcessFile
 	}
-	fields := strings.Fields(stat[end+len(afterName):])
+	fields := strings.Fields(stat[end+len(nameEnd):])
 	if len(fields) <= fieldSystem {
 		return 0, ErrProcessFile
 	}
-	user, errUser := strconv.ParseInt(fields[fieldUser], decimal, bits)
-	system, errSystem := strconv.ParseInt(fields[fieldSystem], decimal, bits)
+	user, errUser := strconv.ParseInt(fields[fieldUser], decimalBase, int64Bits)
+	system, errSystem := strconv.ParseInt(fields[fieldSystem], decimalBase, int64Bits)
 	if errUser != nil || errSystem != nil {
 		return 0, ErrProcessFile
 	}
 	return time.Duration(user+system) * time.Second / ticksPerSecond, nil
 }
 
-// Named reads "NAME: NUMBER [kB]" lines, as /proc/PID/status and /proc/PID/io have them. Numbers in kB are
-// returned in bytes; lines without a number are left out.
+// Named parses "NAME: NUMBER [kB]" lines as in /proc/PID/status and /proc/PID/io. Numbers in kB are returned in bytes;
+// lines without a number are skipped.
 func Named(text string) map[string]int64 {
 	values := map[string]int64{}
 	for line := range strings.Lines(text) {
@@ -60,7 +60,7 @@
 		if !found || len(fields) == 0 {
 			continue
 		}
-		value, err := strconv.ParseInt(fields[0], decimal, bits)
+		value, err := strconv.ParseInt(fields[0], decimalBase, int64Bits)
 		if err != nil {
 			continue
 		}
@@ -72,16 +72,16 @@
 	return values
 }
 
-// Use is a process's use per second over some time.
+// Use is the resource usage of a process over an interval.
 type Use struct {
-	Processor float64 `json:"processorPercent"` // of one core
-	MemoryMB  float64 `json:"memoryMB"`         // resident at the end
-	PeakMB    float64 `json:"peakMB"`           // resident at most since its start
-	ReadKB    float64 `json:"readKBs"`          // kilobytes a second by read calls; datagrams are not among them
-	WrittenKB float64 `json:"writtenKBs"`
-	Reads     float64 `json:"reads"` // calls a second
-	Writes    float64 `json:"writes"`
-	Switches  float64 `json:"switches"` // a second
+	Processor float64 `json:"processorPercent"` // CPU time in percent of one core
+	MemoryMB  float64 `json:"memoryMB"`         // resident memory at the end
+	PeakMB    float64 `json:"peakMB"`           // highest resident memory since the process started
+	ReadKB    float64 `json:"readKBs"`          // kB/s by read calls; datagrams are not included
+	WrittenKB float64 `json:"writtenKBs"`       // kB/s by write calls
+	Reads     float64 `json:"reads"`            // read calls per second
+	Writes    float64 `json:"writes"`           // write calls per second
+	Switches  float64 `json:"switches"`         // voluntary context switches per second
 }
 
 const (
@@ -90,7 +90,7 @@
 	thousand = 1e3
 )
 
-// UseBetween returns the use between two readings.
+// UseBetween returns the usage between two readings of the counters, taken span apart.
 func UseBetween(before, after Counters, span time.Duration) Use {
 	seconds := span.Seconds()
 	return Use{
--- a/internal/testkit/scalereport/result.go
+++ b/internal/testkit/scalereport/result.go
@@ -8,15 +8,15 @@
 
 // Phases of a step.
 const (
-	PhaseRest    = "rest"    // nothing happens but heartbeats, statuses and monitoring
-	PhaseRestart = "restart" // all hollow agents start again at once, with nothing
-	PhaseChange  = "change"  // changes of one route each
-	PhaseLoss    = "loss"    // the owner of the configuration is killed
+	PhaseRest    = "rest"    // only heartbeats, status messages and monitoring
+	PhaseRestart = "restart" // all hollow agents restart at once without state
+	PhaseChange  = "change"  // configuration changes of one route each
+	PhaseLoss    = "loss"    // the leader of the configuration shard is killed
 
-	PhaseBlackout = "blackout" // all processes are killed and started again at once
+	PhaseBlackout = "blackout" // all processes are killed and restarted at once
 )
 
-// ProcessUse is what one process used in one window of a phase.
+// ProcessUse is the resource usage of one process in one window of a phase.
 type ProcessUse struct {
 	Role   string `json:"role"`
 	Node   string `json:"node"`
@@ -25,56 +25,57 @@
 	Use    Use    `json:"use"`
 }
 
-// Hollow is what the hollow agents and workers saw at rest.
+// Hollow holds the measurements of hollow agents and workers, in the idle phase unless noted otherwise. Rates are per
+// second and agent unless noted otherwise.
 type Hollow struct {
-	FeedInKB               float64 `json:"feedInKBs"`  // a second and agent
-	FeedOutKB              float64 `json:"feedOutKBs"` // a second and agent
-	FeedMessages           float64 `json:"feedMessages"`
-	MonitorKB              float64 `json:"monitorKBs"` // datagrams' payload, both ways
-	Datagrams              float64 `json:"datagrams"`  // a second and agent, both ways
-	HeartbeatsAcknowledged float64 `json:"beatsTaken"` // heartbeats acknowledged a second, of all workers
-	HeartbeatsFailed       int64   `json:"beatsFailed"`
-	// AgentsOf counts the hollow agents that read from each server at the end of rest, by its address.
+	FeedInKB               float64 `json:"feedInKBs"`
+	FeedOutKB              float64 `json:"feedOutKBs"`
+	FeedMessages           float64 `json:"feedMessages"` // counted as reads from the feed connection
+	MonitorKB              float64 `json:"monitorKBs"`   // payload of datagrams in both directions
+	Datagrams              float64 `json:"datagrams"`    // in both directions
+	HeartbeatsAcknowledged float64 `json:"beatsTaken"`   // acknowledged heartbeats per second of all workers
+	HeartbeatsFailed       int64   `json:"beatsFailed"`  // since the step's start
+	// AgentsOf counts the hollow agents connected to each server at the end of the idle phase, by server address.
 	AgentsOf map[string]int `json:"agentsOf"`
-	// Failures counts the heartbeats that failed since the step's start by their errors.
+	// Failures counts the heartbeats that failed since the step's start, by error text.
 	Failures      map[string]int `json:"failures"`
-	SnapshotKB    float64        `json:"snapshotKB"` // that an agent reads at its start
+	SnapshotKB    float64        `json:"snapshotKB"` // read by each agent at a restart
 	DocumentBytes int            `json:"documentBytes"`
 }
 
-// Step is what was measured at one size.
+// Step holds the measurements at one fleet size.
 type Step struct {
 	Size               Size         `json:"size"`
 	Servers            int          `json:"keepers"`
-	Edges              int          `json:"edges"`  // real ones among the nodes
-	Routes             int          `json:"routes"` // of the configuration
+	Edges              int          `json:"edges"`  // nodes that run as real processes
+	Routes             int          `json:"routes"` // routes in the configuration
 	Processes          []ProcessUse `json:"processes"`
 	Hollow             Hollow       `json:"hollow"`
-	Known              Percentiles  `json:"restartMs"`       // until an agent has all shards again
-	InForce            Percentiles  `json:"changeMs"`        // from the call to the agent's receipt, near agents
-	InForceFar         Percentiles  `json:"changeFarMs"`     // the same over the slowed links
-	AtProxies          Percentiles  `json:"changeAtProxyMs"` // the same at the real proxies, by their figures
-	Acked              Percentiles  `json:"ackMs"`           // of the changes
-	FirstConfiguration float64      `json:"wholeMs"`         // of the first configuration, until all agents have it
-	Moved              Percentiles  `json:"lossMs"`          // after the kill of a server: until an agent is current elsewhere
-	AckedAfter         float64      `json:"ackAfterLossMs"`  // until a change that was sent with the kill is acknowledged
-	AllAfter           float64      `json:"changeAfterLossMs"`
-	CaughtUp           float64      `json:"caughtUpMs"` // from the start of the killed server until it is current in all shards
-
-	Blackout        Percentiles `json:"blackoutMs"`            // after all were killed, from their start until an agent has all shards
+	Known              Percentiles  `json:"restartMs"`         // from the restart of all hollow agents until each has all shards
+	InForce            Percentiles  `json:"changeMs"`          // from sending a change until each agent without a far link has it
+	InForceFar         Percentiles  `json:"changeFarMs"`       // the same for agents with a far link
+	AtProxies          Percentiles  `json:"changeAtProxyMs"`   // from sending a change until all real proxies show it in their metrics
+	Acked              Percentiles  `json:"ackMs"`             // from sending a change until its acknowledgement
+	FirstConfiguration float64      `json:"wholeMs"`           // from sending the first configuration until all agents have it
+	Moved              Percentiles  `json:"lossMs"`            // from the kill of a server until each of its agents is current on another
+	AckedAfter         float64      `json:"ackAfterLossMs"`    // from the kill until a change sent right after it is acknowledged
+	AllAfter           float64      `json:"changeAfterLossMs"` // the same until all agents have it
+	CaughtUp           float64      `json:"caughtUpMs"`        // from the restart of the killed server until it is current in all shards
+
+	Blackout        Percentiles `json:"blackoutMs"`            // from the restart of all processes until each agent has all shards
 	BlackoutAcked   float64     `json:"ackAfterBlackoutMs"`    // the same until a change is acknowledged
-	BlackoutProxies float64     `json:"changeAfterBlackoutMs"` // the same until the real proxies have it
+	BlackoutProxies float64     `json:"changeAfterBlackoutMs"` // the same until all real proxies have it
 
 	TookS float64 `json:"tookS"`
 }
 
-// Cut is a step that was not played.
+// Cut is a size that was skipped.
 type Cut struct {
 	Size Size   `json:"size"`
 	Why  string `json:"why"`
 }
 
-// Trend is one figure over all steps.
+// Trend is the fit of one figure over all steps.
 type Trend struct {
 	Name     string  `json:"name"`
 	Unit     string  `json:"unit"`
@@ -85,12 +86,12 @@
 	points []Observation
 }
 
-// Result is the result of a run.
+// Result is the result of a scale run.
 type Result struct {
 	Command string    `json:"command"`
-	Build   string    `json:"build"` // revision of the sources
+	Build   string    `json:"build"` // revision of the source code
 	Machine string    `json:"machine"`
-	Load    []float64 `json:"loadAverages"` // of the machine, at the start of each step
+	Load    []float64 `json:"loadAverages"` // of the machine at the start of each step
 	Far     string    `json:"farLinks"`
 	Steps   []Step    `json:"steps"`
 	Cuts    []Cut     `json:"cuts"`
@@ -98,19 +99,19 @@
 	Trends  []Trend   `json:"trends"`
 }
 
-// WriteJSON writes the result.
+// WriteJSON writes the result as indented JSON.
 func (r Result) WriteJSON(out io.Writer) error {
 	encoder := json.NewEncoder(out)
 	encoder.SetIndent("", " ")
 	return encoder.Encode(r)
 }
 
-// figure is one quantity that is fitted over the sizes.
+// figure is a quantity that is fitted over the fleet's size.
 type figure struct {
 	name, unit string
 	role       string
 	phase      string
-	sum        bool // over the processes of the role; else each process counts by itself
+	sum        bool // one observation per window, summed over the processes of the role; otherwise one per process
 	of         func(Use) float64
 }
 
@@ -129,7 +130,7 @@
 	{"proxy: memory without requests", "MB", "proxy", PhaseRest, false, func(u Use) float64 { return u.MemoryMB }},
 }
 
-// Trends fits all figures and extrapolates them to the target's size.
+// Trends fits all figures and extrapolates them to the target size.
 func Trends(steps []Step, target Size) []Trend {
 	var trends []Trend
 	for _, one := range figures {
@@ -139,20 +140,20 @@
 			continue
 		}
 		value, half := fit.At(target)
-		trends = append(trends, Trend{Name: one.name, Unit: one.unit, Fit: finite(fit), Target: value,
-			Interval: orMinusOne(half), points: points})
+		trends = append(trends, Trend{Name: one.name, Unit: one.unit, Fit: withoutNaN(fit), Target: value,
+			Interval: nanToMinusOne(half), points: points})
 	}
 	return trends
 }
 
-// finite replaces values that JSON cannot represent.
-func finite(fit Fit) Fit {
-	fit.Residual = orMinusOne(fit.Residual)
+// withoutNaN replaces NaN, which JSON cannot represent, by -1.
+func withoutNaN(fit Fit) Fit {
+	fit.Residual = nanToMinusOne(fit.Residual)
 	return fit
 }
 
-// orMinusOne returns -1 for a value that is not finite.
-func orMinusOne(value float64) float64 {
+// nanToMinusOne returns -1 for NaN.
+func nanToMinusOne(value float64) float64 {
 	if value != value {
 		return -1
 	}
@@ -180,7 +181,7 @@
 	return found
 }
 
-// WriteText writes the fits as text.
+// WriteText writes the fits as a text table, and the skipped sizes.
 func (r Result) WriteText(out io.Writer) {
 	fmt.Fprintf(out, "\n%-36s %10s %10s %10s %10s   at %d nodes, %d workers\n",
 		"figure", "base", "per node", "per worker", "residual", r.Target.Nodes, r.Target.Workers)
@@ -193,6 +194,6 @@
 			trend.Fit.PerNode, worker, trend.Fit.Residual, trend.Target, trend.Interval, trend.Unit)
 	}
 	for _, cut := range r.Cuts {
-		fmt.Fprintf(out, "not played: %d nodes, %d workers: %s\n", cut.Size.Nodes, cut.Size.Workers, cut.Why)
+		fmt.Fprintf(out, "skipped: %d nodes, %d workers: %s\n", cut.Size.Nodes, cut.Size.Workers, cut.Why)
 	}
 }
--- a/internal/testkit/scalereport/scale_test.go
+++ b/internal/testkit/scalereport/scale_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-func near(a, b float64) bool { return math.Abs(a-b) < 1e-6 }
+func approxEqual(a, b float64) bool { return math.Abs(a-b) < 1e-6 }
 
 func TestFitTo_nodesAndWorkers(t *testing.T) {
 	var observations []Observation
@@ -20,39 +20,39 @@
 		observations = append(observations, Observation{size, 2 + 0.5*float64(size.Nodes) + 0.1*float64(size.Workers)})
 	}
 	fit, ok := FitTo(observations)
-	if !ok || fit.Together || !near(fit.Base, 2) || !near(fit.PerNode, 0.5) || !near(fit.PerWorker, 0.1) {
-		t.Fatalf("fit %+v, %v", fit, ok)
+	if !ok || fit.Together || !approxEqual(fit.Base, 2) || !approxEqual(fit.PerNode, 0.5) || !approxEqual(fit.PerWorker, 0.1) {
+		t.Fatalf("FitTo: got %+v, %v, want 2 + 0.5 per node + 0.1 per worker", fit, ok)
 	}
-	if value, half := fit.At(Size{1000, 2000}); !near(value, 702) || half > 1e-6 {
-		t.Errorf("at 1000 nodes: %v ± %v", value, half)
+	if value, half := fit.At(Size{1000, 2000}); !approxEqual(value, 702) || half > 1e-6 {
+		t.Errorf("At 1000 nodes, 2000 workers: got %v ± %v, want 702 ± 0", value, half)
 	}
 }
 
 func TestFitTo_proportionalSizes(t *testing.T) {
 	fit, ok := FitTo([]Observation{{Size{30, 60}, 31}, {Size{100, 200}, 101}, {Size{360, 600}, 361}})
-	if !ok || !fit.Together || !near(fit.PerNode, 1) || !near(fit.Base, 1) || fit.PerWorker != 0 {
-		t.Errorf("fit %+v, %v", fit, ok)
+	if !ok || !fit.Together || !approxEqual(fit.PerNode, 1) || !approxEqual(fit.Base, 1) || fit.PerWorker != 0 {
+		t.Errorf("FitTo of proportional sizes: got %+v, %v, want 1 + 1 per node, Together", fit, ok)
 	}
 	if _, ok := FitTo([]Observation{{Size{30, 60}, 1}, {Size{30, 60}, 2}}); ok {
-		t.Error("one size alone was fitted")
+		t.Error("FitTo of two observations at the same size: got ok, want false")
 	}
 	if _, ok := FitTo(nil); ok {
-		t.Error("nothing was fitted")
+		t.Error("FitTo without observations: got ok, want false")
 	}
 }
 
-// The interval is checked against a textbook line: y = 1, 3, 2, 5 at x = 1, 2, 3, 4.
+// The prediction interval must match a computation by hand: y = 1, 3, 2, 5 at x = 1, 2, 3, 4.
 func TestFit_At_predictionInterval(t *testing.T) {
 	fit, _ := FitTo([]Observation{{Size{1, 1}, 1}, {Size{2, 2}, 3}, {Size{3, 3}, 2}, {Size{4, 4}, 5}})
 	value, half := fit.At(Size{5, 5})
 	// Slope 1.1, intercept 0, s^2 = 2.7/2; at 5: s * sqrt(1 + 1/4 + 2.5^2/5) * t(2).
 	want := 4.30 * math.Sqrt(1.35) * math.Sqrt(1+0.25+1.25)
-	if !near(value, 5.5) || math.Abs(half-want) > 1e-6 {
-		t.Errorf("%v ± %v, want 5.5 ± %v", value, half, want)
+	if !approxEqual(value, 5.5) || math.Abs(half-want) > 1e-6 {
+		t.Errorf("At size 5: got %v ± %v, want 5.5 ± %v", value, half, want)
 	}
 	two, _ := FitTo([]Observation{{Size{1, 1}, 1}, {Size{2, 2}, 3}})
 	if _, half := two.At(Size{5, 5}); !math.IsNaN(half) {
-		t.Errorf("two points have an interval: %v", half)
+		t.Errorf("half width of a fit to two points: got %v, want NaN", half)
 	}
 }
 
@@ -63,24 +63,24 @@
 	}
 	want := Percentiles{Count: 200, P50: 100, P95: 190, P99: 198, Max: 200}
 	if got := PercentilesOf(values); got != want {
-		t.Errorf("%+v, want %+v", got, want)
+		t.Errorf("PercentilesOf 1 to 200: got %+v, want %+v", got, want)
 	}
 	if got := PercentilesOf(nil); got != (Percentiles{}) {
-		t.Errorf("of nothing: %+v", got)
+		t.Errorf("PercentilesOf(nil): got %+v, want zeros", got)
 	}
 	if got := PercentilesOf([]float64{7}); got.P50 != 7 || got.P99 != 7 {
-		t.Errorf("of one: %+v", got)
+		t.Errorf("PercentilesOf one value 7: got %+v, want 7", got)
 	}
 }
 
 func TestProcessorTime_anyName(t *testing.T) {
 	stat := "4711 (a) b) S 1 2 3 4 5 6 7 8 9 10 150 50 0 0 20 0 9 0 100 200 300"
 	if got, err := ProcessorTime(stat); err != nil || got != 2*time.Second {
-		t.Errorf("%v, %v, want 2s", got, err)
+		t.Errorf("ProcessorTime: got %v, %v, want 2s", got, err)
 	}
 	for _, bad := range []string{"", "1 (x) S 1 2", "1 (x) S 1 2 3 4 5 6 7 8 9 10 x y 0"} {
 		if _, err := ProcessorTime(bad); !errors.Is(err, ErrProcessFile) {
-			t.Errorf("%q: %v", bad, err)
+			t.Errorf("ProcessorTime(%q): got error %v, want ErrProcessFile", bad, err)
 		}
 	}
 }
@@ -88,7 +88,7 @@
 func TestNamed_kilobytes(t *testing.T) {
 	got := Named("Name:\tospreyfleet\nVmRSS:\t  20 kB\nvoluntary_ctxt_switches:\t7\nrchar: 12\n\n")
 	if len(got) != 3 || got["VmRSS"] != 20480 || got["voluntary_ctxt_switches"] != 7 || got["rchar"] != 12 {
-		t.Errorf("%v", got)
+		t.Errorf("Named: got %v, want VmRSS 20480, voluntary_ctxt_switches 7, rchar 12", got)
 	}
 }
 
@@ -97,7 +97,7 @@
 	after := Counters{Processor: 2 * time.Second, Resident: 3e6, Peak: 4e6, Read: 11000, Written: 4000, Reads: 11, Writes: 22, Switches: 13}
 	want := Use{Processor: 10, MemoryMB: 3, PeakMB: 4, ReadKB: 1, WrittenKB: 0.2, Reads: 1, Writes: 2, Switches: 1}
 	if got := UseBetween(before, after, 10*time.Second); got != want {
-		t.Errorf("%+v, want %+v", got, want)
+		t.Errorf("UseBetween: got %+v, want %+v", got, want)
 	}
 }
 
@@ -105,7 +105,7 @@
 	need := NeedOf(Size{360, 600}, 3, 1, 3700)
 	enough := Bounds(need)
 	if err := enough.Check(need); err != nil {
-		t.Errorf("enough is not: %v", err)
+		t.Errorf("Check with bounds equal to the need: %v", err)
 	}
 	for word, short := range map[string]Bounds{
 		"half of the machine": {Memory: need.Memory - 1, Descriptors: need.Descriptors, Processes: need.Processes},
@@ -113,28 +113,28 @@
 		"processes":           {Memory: need.Memory, Descriptors: need.Descriptors, Processes: need.Processes - 1},
 	} {
 		if err := short.Check(need); err == nil || !strings.Contains(err.Error(), word) {
-			t.Errorf("%s: %v", word, err)
+			t.Errorf("Check with too few %s: got error %v, want one with that text", word, err)
 		}
 	}
 	if got := BoundsOf(1000, 7); got.Memory != 500 || got.Descriptors != 7 {
-		t.Errorf("bounds: %+v", got)
+		t.Errorf("BoundsOf(1000, 7): got %+v, want memory 500, descriptors 7", got)
 	}
 }
 
 func TestParseSizes(t *testing.T) {
 	got, err := ParseSizes("30x60, 360x600")
 	if err != nil || len(got) != 2 || got[1] != (Size{360, 600}) {
-		t.Errorf("%v, %v", got, err)
+		t.Errorf("ParseSizes: got %v, %v, want two sizes, the second 360x600", got, err)
 	}
 	for _, bad := range []string{"", "30", "x60", "0x1", "3x-1", "30x60,"} {
 		if _, err := ParseSizes(bad); !errors.Is(err, ErrSizes) {
-			t.Errorf("%q: %v", bad, err)
+			t.Errorf("ParseSizes(%q): got error %v, want ErrSizes", bad, err)
 		}
 	}
 }
 
-// example is a result with all kinds of figures.
-func example() Result {
+// exampleResult returns a result with two steps, trends and a skipped size.
+func exampleResult() Result {
 	target := Size{360, 600}
 	var steps []Step
 	for _, size := range []Size{{30, 60}, {100, 200}} {
@@ -152,37 +152,37 @@
 }
 
 func TestTrends_sumOfServers(t *testing.T) {
-	for _, trend := range example().Trends {
-		if trend.Name == "all keepers: written at rest" && !near(trend.Target, 720) {
-			t.Errorf("two keepers of 360 kB/s each are %v", trend.Target)
+	for _, trend := range exampleResult().Trends {
+		if trend.Name == "all keepers: written at rest" && !approxEqual(trend.Target, 720) {
+			t.Errorf("sum for two control plane servers of 360 kB/s each: got %v, want 720", trend.Target)
 		}
-		if trend.Name == "agent: processor at rest" && !near(trend.Target, 3.6) {
-			t.Errorf("an agent's processor is %v", trend.Target)
+		if trend.Name == "agent: processor at rest" && !approxEqual(trend.Target, 3.6) {
+			t.Errorf("processor of an agent: got %v, want 3.6", trend.Target)
 		}
 	}
 }
 
 func TestResult_Write(t *testing.T) {
-	result := example()
+	result := exampleResult()
 	var encoded bytes.Buffer
 	if err := result.WriteJSON(&encoded); err != nil {
 		t.Fatal(err)
 	}
 	var decoded Result
 	if err := json.Unmarshal(encoded.Bytes(), &decoded); err != nil || len(decoded.Steps) != 2 {
-		t.Errorf("read back: %v, %d steps", err, len(decoded.Steps))
+		t.Errorf("decode the written JSON: error %v, %d steps, want 2", err, len(decoded.Steps))
 	}
 	var text bytes.Buffer
 	result.WriteText(&text)
-	for _, wanted := range []string{"all keepers: processor at rest", "not played: 360 nodes, 600 workers: needs more"} {
+	for _, wanted := range []string{"all keepers: processor at rest", "skipped: 360 nodes, 600 workers: needs more"} {
 		if !strings.Contains(text.String(), wanted) {
-			t.Errorf("no %q in\n%s", wanted, text.String())
+			t.Errorf("WriteText: no %q in\n%s", wanted, text.String())
 		}
 	}
 	checkSVG(t, result)
 }
 
-// checkSVG reports whether a plot is well-formed and shows all points.
+// checkSVG fails the test unless the plot is well-formed XML and has all points.
 func checkSVG(t *testing.T, result Result) {
 	t.Helper()
 	var plot bytes.Buffer
@@ -191,13 +191,13 @@
 	}
 	circles := strings.Count(plot.String(), "<circle")
 	if circles < 2*2+2*2+2*3 {
-		t.Errorf("%d points in the plot", circles)
+		t.Errorf("WriteSVG: got %d circles, want at least 14", circles)
 	}
 	for decoder := xml.NewDecoder(&plot); ; {
 		if _, err := decoder.Token(); errors.Is(err, io.EOF) {
 			return
 		} else if err != nil {
-			t.Fatalf("the plot is not well-formed: %v", err)
+			t.Fatalf("WriteSVG: not well-formed XML: %v", err)
 		}
 	}
 }
--- a/internal/testkit/scalereport/traffic.go
+++ b/internal/testkit/scalereport/traffic.go
@@ -9,47 +9,47 @@
 	"strings"
 )
 
-// Rate is the load on one proxy.
+// Rate is the load offered to one proxy.
 type Rate struct {
-	Requests int `json:"requests"` // a second
-	Tokens   int `json:"tokens"`   // that each makes, an event each
+	Requests int `json:"requests"` // per second
+	Tokens   int `json:"tokens"`   // per request, one event each
 }
 
-// TrafficUse is what the proxy used in one window.
+// TrafficUse is the resource usage of the proxy in one window.
 type TrafficUse struct {
 	Window int     `json:"window"`
-	Events float64 `json:"events"` // a second that the client read
+	Events float64 `json:"events"` // per second, read by the client
 	Proxy  Use     `json:"proxy"`
 }
 
-// TrafficStep is what was measured at one rate.
+// TrafficStep holds the measurements at one rate.
 type TrafficStep struct {
 	Rate    Rate         `json:"rate"`
-	Served  float64      `json:"served"` // requests a second that ended completely
-	Events  float64      `json:"events"` // a second
+	Served  float64      `json:"served"` // completely served requests per second
+	Events  float64      `json:"events"` // per second
 	Failed  int64        `json:"failed"`
-	First   Percentiles  `json:"firstMs"` // until the first event
+	First   Percentiles  `json:"firstMs"` // from sending a request until its first event
 	Windows []TrafficUse `json:"windows"`
 }
 
-// TrafficResult is a run at several rates, with the proxy's processor fitted to requests and events.
+// TrafficResult is the result of a run at several rates, with the proxy's CPU usage fitted to requests and events.
 type TrafficResult struct {
 	Command    string        `json:"command"`
-	Build      string        `json:"build"` // revision of the sources
+	Build      string        `json:"build"` // revision of the source code
 	Machine    string        `json:"machine"`
 	Load       float64       `json:"loadAverage"`
 	Steps      []TrafficStep `json:"steps"`
 	Target     Rate          `json:"target"`
-	Processor  Fit           `json:"processor"` // PerNode: of a request; PerWorker: of an event a second
+	Processor  Fit           `json:"processor"` // PerNode: per request per second; PerWorker: per event per second
 	AtTarget   float64       `json:"atTarget"`  // percent of a core
 	Interval   float64       `json:"halfInterval95"`
 	MostMemory float64       `json:"mostMemoryMB"`
 }
 
-// ErrRates is returned for a list of rates that cannot be read.
+// ErrRates is returned by ParseRates for an invalid list.
 var ErrRates = errors.New(`scale: rates are REQUESTSxTOKENS joined by commas, such as "5x100,10x200"`)
 
-// ParseRates reads a list of rates.
+// ParseRates parses a comma-separated list of rates, such as "5x100,10x200".
 func ParseRates(text string) ([]Rate, error) {
 	var rates []Rate
 	for part := range strings.SplitSeq(text, ",") {
@@ -64,7 +64,7 @@
 	return rates, nil
 }
 
-// Conclude fits the proxy's processor and carries it to the target. ok is false where the rates do not suffice.
+// Conclude fits the proxy's CPU usage and extrapolates it to the target rate. ok is false if there are too few rates.
 func (r *TrafficResult) Conclude() (ok bool) {
 	var observations []Observation
 	for _, step := range r.Steps {
@@ -80,24 +80,24 @@
 	}
 	var half float64
 	r.AtTarget, half = fit.At(Size{Nodes: r.Target.Requests, Workers: r.Target.Requests * r.Target.Tokens})
-	r.Processor, r.Interval = finite(fit), orMinusOne(half)
+	r.Processor, r.Interval = withoutNaN(fit), nanToMinusOne(half)
 	return true
 }
 
-// WriteJSON writes the result.
+// WriteJSON writes the result as indented JSON.
 func (r TrafficResult) WriteJSON(out io.Writer) error {
 	encoder := json.NewEncoder(out)
 	encoder.SetIndent("", " ")
 	return encoder.Encode(r)
 }
 
-// WriteText writes the fit as a line for people.
+// WriteText writes the fit and the extrapolation as text.
 func (r TrafficResult) WriteText(out io.Writer) {
-	each := fmt.Sprintf("%.4f%% a request a second and %.5f%% an event a second", r.Processor.PerNode, r.Processor.PerWorker)
+	each := fmt.Sprintf("%.4f%% per request/s and %.5f%% per event/s", r.Processor.PerNode, r.Processor.PerWorker)
 	if r.Processor.Together {
-		each = fmt.Sprintf("%.4f%% a request a second with its events", r.Processor.PerNode)
+		each = fmt.Sprintf("%.4f%% per request/s with its events", r.Processor.PerNode)
 	}
-	fmt.Fprintf(out, "proxy's processor: %.2f%% of a core and %s; residual %.2f\n", r.Processor.Base, each, r.Processor.Residual)
+	fmt.Fprintf(out, "proxy CPU: base %.2f%% of a core, %s; residual %.2f\n", r.Processor.Base, each, r.Processor.Residual)
 	fmt.Fprintf(out, "at %d requests/s of %d tokens: %.1f ± %.1f%% of a core; at most %.0f MB\n",
 		r.Target.Requests, r.Target.Tokens, r.AtTarget, r.Interval, r.MostMemory)
 }
--- a/internal/testkit/scalereport/traffic_test.go
+++ b/internal/testkit/scalereport/traffic_test.go
@@ -11,11 +11,11 @@
 func TestParseRates(t *testing.T) {
 	got, err := ParseRates("5x100, 12x207")
 	if err != nil || len(got) != 2 || got[1] != (Rate{12, 207}) {
-		t.Errorf("%v, %v", got, err)
+		t.Errorf("ParseRates: got %v, %v, want two rates, the second 12x207", got, err)
 	}
 	for _, bad := range []string{"", "5", "0x1", "5x0", "ax1"} {
 		if _, err := ParseRates(bad); !errors.Is(err, ErrRates) {
-			t.Errorf("%q: %v", bad, err)
+			t.Errorf("ParseRates(%q): got error %v, want ErrRates", bad, err)
 		}
 	}
 }
@@ -27,21 +27,21 @@
 		use := Use{Processor: 1 + 0.5*float64(rate.Requests) + 0.01*events, MemoryMB: float64(rate.Requests)}
 		result.Steps = append(result.Steps, TrafficStep{Rate: rate, Windows: []TrafficUse{{Events: events, Proxy: use}}})
 	}
-	if !result.Conclude() || !near(result.Processor.PerNode, 0.5) || !near(result.Processor.PerWorker, 0.01) {
-		t.Fatalf("%+v", result.Processor)
+	if !result.Conclude() || !approxEqual(result.Processor.PerNode, 0.5) || !approxEqual(result.Processor.PerWorker, 0.01) {
+		t.Fatalf("Conclude: got fit %+v, want 0.5 per request and 0.01 per event", result.Processor)
 	}
-	if !near(result.AtTarget, 31) || result.MostMemory != 12 {
-		t.Errorf("at the target %v, memory %v", result.AtTarget, result.MostMemory)
+	if !approxEqual(result.AtTarget, 31) || result.MostMemory != 12 {
+		t.Errorf("at the target rate: got %v%% of a core, want 31; memory %v MB, want 12", result.AtTarget, result.MostMemory)
 	}
 	var text, encoded bytes.Buffer
 	result.WriteText(&text)
 	if !strings.Contains(text.String(), "31.0") {
-		t.Errorf("text: %s", text.String())
+		t.Errorf("WriteText: no 31.0 in %s", text.String())
 	}
 	if err := result.WriteJSON(&encoded); err != nil || !json.Valid(encoded.Bytes()) {
-		t.Errorf("JSON: %v", err)
+		t.Errorf("WriteJSON: error %v, want valid JSON", err)
 	}
 	if new(TrafficResult).Conclude() {
-		t.Error("nothing was concluded from")
+		t.Error("Conclude without steps: got ok, want false")
 	}
 }
