--- a/internal/testkit/scalerun/agents.go
+++ b/internal/testkit/scalerun/agents.go
@@ -1,6 +1,6 @@
-// Package scalerun runs complete fleets on one machine and measures them: servers and some edges as processes, all
-// other nodes and all workers hollow, in this process. A hollow node runs an agent's real feed link and real
-// monitoring; a hollow worker runs the real registration of the fake worker. Neither has traffic.
+// Package scalerun runs complete fleets on one machine and measures them. Servers and some edges run as real processes;
+// all other nodes and all workers are hollow, that is, emulated in this process. A hollow node runs the real feed client
+// and health monitoring of an agent, a hollow worker the real registration of the fake worker. Neither serves requests.
 package scalerun
 
 import (
@@ -18,15 +18,15 @@
 	"ospreybend/internal/controlplane/feedtransport"
 )
 
-// traffic counts what all hollow agents read and wrote.
-type traffic struct {
+// feedTraffic counts the bytes and reads of the feed connections of all hollow agents.
+type feedTraffic struct {
 	in, out, reads atomic.Int64
 }
 
-// countedConnection counts the bytes of a connection.
+// countedConnection adds the traffic of a connection to a feedTraffic.
 type countedConnection struct {
 	net.Conn
-	traffic *traffic
+	traffic *feedTraffic
 }
 
 func (c countedConnection) Read(buffer []byte) (int, error) {
@@ -44,7 +44,7 @@
 	return count, err
 }
 
-// hollowAgent is an agent's feed link without the rest of the agent. It records when it received what.
+// hollowAgent is the feed client of an agent without the rest of the agent. It records when updates arrive.
 type hollowAgent struct {
 	client *feedtransport.Client
 
@@ -52,17 +52,17 @@
 	received     map[shards.ID]uint64
 	generation   uint64
 	generationAt time.Time
-	server       string    // address of the feed that is read; empty: none
-	completeAt   time.Time // since when all shards are there and current; zero: they are not
+	server       string    // address of the connected feed; empty: none
+	completeAt   time.Time // when all shards became complete and current; zero: they are not
 }
 
-// agentOptions identify a hollow agent and its link.
+// agentOptions identifies a hollow agent and its network link.
 type agentOptions struct {
 	node, zone, ip string
 	seeds          []string
 	feedPort       int
-	slow           map[string]string // servers' addresses over the agent's link; nil: their own
-	traffic        *traffic
+	relayAddresses map[string]string // relay address by server address for a far link; nil: direct connections
+	traffic        *feedTraffic
 }
 
 func newHollowAgent(options agentOptions) *hollowAgent {
@@ -78,7 +78,7 @@
 }
 
 func (o agentOptions) dial(ctx context.Context, address string) (net.Conn, error) {
-	if relayed, ok := o.slow[address]; ok {
+	if relayed, ok := o.relayAddresses[address]; ok {
 		address = relayed
 	}
 	connection, err := feedtransport.Dial(ctx, address)
@@ -145,7 +145,7 @@
 	a.server, a.completeAt = "", time.Time{}
 }
 
-// agentState is what a hollow agent has recorded.
+// agentState is a copy of the recorded state of a hollow agent.
 type agentState struct {
 	generation               uint64
 	generationAt, completeAt time.Time
@@ -158,16 +158,16 @@
 	return agentState{a.generation, a.generationAt, a.completeAt, a.server}
 }
 
-// hollowAgents is all hollow agents of a fleet.
+// hollowAgents holds all hollow agents of a fleet.
 type hollowAgents struct {
 	options []agentOptions
-	traffic *traffic
+	traffic *feedTraffic
 	agents  []*hollowAgent
 	cancel  context.CancelFunc
 	running sync.WaitGroup
 }
 
-// start runs all agents again.
+// start starts all agents without state.
 func (c *hollowAgents) start(ctx context.Context) {
 	ctx, c.cancel = context.WithCancel(ctx)
 	c.agents = make([]*hollowAgent, len(c.options))
@@ -178,7 +178,7 @@
 	}
 }
 
-// stop ends all agents.
+// stop stops all agents and waits for them.
 func (c *hollowAgents) stop() {
 	if c.cancel != nil {
 		c.cancel()
@@ -186,7 +186,7 @@
 	c.running.Wait()
 }
 
-// all reports whether a condition holds for each agent.
+// all reports whether a condition holds for every agent.
 func (c *hollowAgents) all(check func(agentState) bool) bool {
 	for _, agent := range c.agents {
 		if !check(agent.state()) {
@@ -196,12 +196,12 @@
 	return true
 }
 
-// complete reports whether all agents have all shards from a current server.
+// complete reports whether every agent has all shards from a current server.
 func (c *hollowAgents) complete() bool {
 	return c.all(func(state agentState) bool { return !state.completeAt.IsZero() })
 }
 
-// servers counts the agents that read from each server.
+// servers returns the number of agents connected to each server, by address.
 func (c *hollowAgents) servers() map[string]int {
 	counts := map[string]int{}
 	for _, agent := range c.agents {
@@ -210,8 +210,8 @@
 	return counts
 }
 
-// since returns, in milliseconds, when each agent that is chosen got what at picks.
-func (c *hollowAgents) since(start time.Time, choose func(i int) bool, at func(agentState) time.Time) []float64 {
+// elapsed returns the milliseconds from start to the time that at returns, for each chosen agent.
+func (c *hollowAgents) elapsed(start time.Time, choose func(i int) bool, at func(agentState) time.Time) []float64 {
 	var times []float64
 	for i, agent := range c.agents {
 		if choose(i) {
--- a/internal/testkit/scalerun/configuration.go
+++ b/internal/testkit/scalerun/configuration.go
@@ -6,32 +6,32 @@
 )
 
 const (
-	models       = 7
-	prefillShare = 0.34
-	stride       = 100 // of the workers' stages
+	models       = 7    // services
+	prefillShare = 0.34 // of the workers
+	stageStride  = 100  // workers after which the pattern of stages repeats
 )
 
 func modelService(i int) string { return fmt.Sprintf("model-%d", i%models+1) }
 
-// stageOf returns the stage of a worker; prefill workers are spread evenly.
+// stageOf returns the stage of the i-th worker. Prefill workers are spread evenly over the indexes.
 func stageOf(i int) string {
-	if i*34%stride < stride*prefillShare {
+	if i*34%stageStride < stageStride*prefillShare {
 		return "prefill"
 	}
 	return "decode"
 }
 
-// route returns the route of one tenant.
-func route(i, timeoutMs int) string {
+// tenantRoute returns the route of one tenant.
+func tenantRoute(i, timeoutMs int) string {
 	return fmt.Sprintf(`{"name":"tenant-%d","hostname":"tenant-%d.example","pathPrefix":"/v1/","routeType":"streaming","timeoutMs":%d,"targetLatencyMs":310,"priority":0,"service":%q,"maxAttempts":2,"sessionAffinity":true,"resumable":true,"gap_aim_ms":27}`,
 		i, i, timeoutMs, modelService(i))
 }
 
-// document returns a complete configuration with a route for each tenant and a service for each model.
-func document(generation uint64, routes int) []byte {
+// configurationDocument returns a complete configuration with a route for each tenant and a service for each model.
+func configurationDocument(generation uint64, routes int) []byte {
 	listed := make([]string, routes)
 	for i := range listed {
-		listed[i] = route(i, 8000)
+		listed[i] = tenantRoute(i, 8000)
 	}
 	services := make([]string, models)
 	for i := range services {
@@ -41,7 +41,7 @@
 		generation, strings.Join(listed, ","), strings.Join(services, ","))
 }
 
-// oneRoute returns a change of one tenant's route.
-func oneRoute(generation uint64, tenant int) []byte {
-	return fmt.Appendf(nil, `{"generation":%d,"upsert":{"routes":[%s]}}`, generation, route(tenant, 8000+int(generation)))
+// routeChange returns a configuration change that gives one tenant's route a new timeout.
+func routeChange(generation uint64, tenant int) []byte {
+	return fmt.Appendf(nil, `{"generation":%d,"upsert":{"routes":[%s]}}`, generation, tenantRoute(tenant, 8000+int(generation)))
 }
--- a/internal/testkit/scalerun/full_restart.go
+++ b/internal/testkit/scalerun/full_restart.go
@@ -9,36 +9,37 @@
 	"ospreybend/internal/testkit/scalereport"
 )
 
-// measureFullRestart kills all processes at once, starts them again at once, and waits until all are complete again. Workers keep running.
+// measureFullRestart kills all processes and hollow agents at once, restarts them at once, and waits until a change is
+// accepted and every proxy and agent is complete again. Workers keep running.
 func (s *stepRun) measureFullRestart(ctx context.Context) error {
 	s.killAll()
 	started := time.Now()
 	if err := s.startAll(); err != nil {
 		return err
 	}
-	before := s.read()
+	before := s.sampleUsage()
 	s.hollow.start(ctx)
 	s.generation++
-	acked, err := s.change(ctx)
+	acked, err := s.sendChange(ctx)
 	if err != nil {
 		return err
 	}
 	s.step.BlackoutAcked = milliseconds(acked.Sub(started))
-	if err := s.await(ctx, "a proxy without the configuration after all were killed", func() bool { return s.proxyHas(ctx) }); err != nil {
+	if err := s.await(ctx, "proxies to have the configuration after the restart of all processes", func() bool { return s.proxiesCurrent(ctx) }); err != nil {
 		return err
 	}
 	s.step.BlackoutProxies = milliseconds(time.Since(started))
-	if err := s.await(ctx, "agents not whole after all were killed", s.hollow.complete); err != nil {
+	if err := s.await(ctx, "agents to have all shards after the restart of all processes", s.hollow.complete); err != nil {
 		return err
 	}
-	s.note(scalereport.PhaseBlackout, 0, before)
-	s.step.Blackout = scalereport.PercentilesOf(s.hollow.since(started, allAgents, completedAt))
-	s.plan.printf("  all processes killed and started again: %d hollow agents whole p50 %.0f, p99 %.0f, max %.0f ms; a change acknowledged after %.0f ms, at the proxies after %.0f ms",
+	s.recordUsage(scalereport.PhaseBlackout, 0, before)
+	s.step.Blackout = scalereport.PercentilesOf(s.hollow.elapsed(started, allAgents, completedAt))
+	s.plan.printf("  all processes killed and restarted: %d hollow agents complete after p50 %.0f, p99 %.0f, max %.0f ms; a change acknowledged after %.0f ms, at the proxies after %.0f ms",
 		len(s.hollow.agents), s.step.Blackout.P50, s.step.Blackout.P99, s.step.Blackout.Max, s.step.BlackoutAcked, s.step.BlackoutProxies)
 	return nil
 }
 
-// killAll ends all processes of the fleet and all hollow agents.
+// killAll kills all processes of the fleet and stops all hollow agents.
 func (s *stepRun) killAll() {
 	var killing sync.WaitGroup
 	kill := func(process *localfleet.Process) { killing.Go(process.Kill) }
@@ -53,7 +54,7 @@
 	killing.Wait()
 }
 
-// startAll starts what killAll has ended, but for the hollow agents.
+// startAll restarts the processes that killAll ended. It does not start the hollow agents.
 func (s *stepRun) startAll() error {
 	for i := range s.plan.Servers {
 		if _, err := s.fleet.StartServer(i, false); err != nil {
--- a/internal/testkit/scalerun/monitor.go
+++ b/internal/testkit/scalerun/monitor.go
@@ -14,24 +14,24 @@
 )
 
 const (
-	packetBuffer = 64 // bytes, more than a packet has
-	idleWait     = time.Second
+	packetBufferSize = 64 // bytes; larger than any packet
+	idleWait         = time.Second
 )
 
-// monitoring counts the datagrams of all hollow nodes, both ways.
+// monitoring counts the datagrams of all hollow nodes in both directions.
 type monitoring struct {
 	datagrams, bytes atomic.Int64
 }
 
-// monitor takes part in the fleet's health checks for one hollow node.
+// monitor runs the peer health checks of one hollow node.
 type monitor struct {
-	socket *net.UDPConn
-	prober *membership.Prober
-	counts *monitoring
-	buffer []byte
+	socket     *net.UDPConn
+	prober     *membership.Prober
+	counts     *monitoring
+	sendBuffer []byte
 }
 
-// startMonitor sends and answers health checks until ctx ends.
+// startMonitor sends and answers health checks in the background until ctx ends.
 func startMonitor(ctx context.Context, self netip.Addr, port int, nodes []membership.Node, counts *monitoring) error {
 	socket, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(netip.AddrPortFrom(self, uint16(port))))
 	if err != nil {
@@ -46,7 +46,7 @@
 }
 
 func (m *monitor) run() {
-	var buffer [packetBuffer]byte
+	var buffer [packetBufferSize]byte
 	for {
 		at, ok := m.prober.NextTick()
 		if !ok {
@@ -61,7 +61,7 @@
 		case errors.Is(err, net.ErrClosed):
 			return
 		case !errors.Is(err, os.ErrDeadlineExceeded):
-			continue // an ICMP error of an earlier datagram; the next read waits
+			continue // ICMP error caused by an earlier datagram; the next read blocks again
 		}
 		m.send(m.prober.Tick(now))
 	}
@@ -79,9 +79,9 @@
 
 func (m *monitor) send(actions membership.Actions) {
 	for _, out := range actions.Packets {
-		m.buffer = out.Packet.Encode(m.buffer[:0])
+		m.sendBuffer = out.Packet.Encode(m.sendBuffer[:0])
 		m.counts.datagrams.Add(1)
-		m.counts.bytes.Add(int64(len(m.buffer)))
-		_, _ = m.socket.WriteToUDPAddrPort(m.buffer, out.To) // a lost health check is retried
+		m.counts.bytes.Add(int64(len(m.sendBuffer)))
+		_, _ = m.socket.WriteToUDPAddrPort(m.sendBuffer, out.To) // a lost health check is retried
 	}
 }
--- a/internal/testkit/scalerun/plan.go
+++ b/internal/testkit/scalerun/plan.go
@@ -13,34 +13,35 @@
 	"ospreybend/internal/testkit/scalereport"
 )
 
-// Plan describes what is played.
+// Plan describes a scale run.
 type Plan struct {
-	Binary    string // the fleet's program
-	Directory string // settings, data and logs go below it
+	Binary    string // path of the fleet's executable
+	Directory string // parent of settings, data and logs
 	Sizes     []scalereport.Size
 	Target    scalereport.Size
 	Servers   int
-	Tolerance int // servers that may be lost at once; 0: as many as leave a majority
-	Edges     int // real ones among the nodes
+	Tolerance int // servers that may fail at the same time; 0: the most that leave a majority
+	Edges     int // nodes that run as real processes
 	Routes    int
-	WarmUp    time.Duration // after the start, before anything is measured
-	Window    time.Duration // of a measurement at rest
-	Windows   int
-	Changes   int
-	FarEvery  int             // one in so many hollow agents has the far link; 0: none
-	Far       localfleet.Link // between these and the servers
-	Heartbeat time.Duration   // of workers
-	Limit     time.Duration   // of one step
+	WarmUp    time.Duration   // wait after the start, before anything is measured
+	Window    time.Duration   // length of one measurement in the idle phase
+	Windows   int             // measurements in the idle phase
+	Changes   int             // configuration changes that are measured
+	FarEvery  int             // every FarEvery-th hollow agent has a far link; 0: none
+	Far       localfleet.Link // link between these agents and the servers
+	Heartbeat time.Duration   // heartbeat interval of workers
+	Limit     time.Duration   // time limit of one step
 	Progress  io.Writer
 }
 
-// Of one process of the fleet.
+// Limits of each fleet process.
 const (
-	coresOfProcess  = 1
-	memoryOfProcess = 256 // MB
+	coresPerProcess  = 1
+	memoryPerProcess = 256 // MB
 )
 
-// Play measures all sizes for which the machine has enough memory and descriptors. On an error the result has the steps before it.
+// Play measures all sizes for which the machine has enough memory and file descriptors. If it returns an error, the
+// result has the steps completed before.
 func Play(ctx context.Context, plan Plan) (scalereport.Result, error) {
 	result := scalereport.Result{Machine: machineName(runtime.NumCPU()), Target: plan.Target, Far: plan.farText()}
 	bounds, err := machineBounds()
@@ -50,11 +51,11 @@
 	for i, size := range plan.Sizes {
 		if why := bounds.Check(scalereport.NeedOf(size, plan.Servers, plan.Edges, plan.Routes)); why != nil {
 			result.Cuts = append(result.Cuts, scalereport.Cut{Size: size, Why: why.Error()})
-			plan.printf("%d nodes, %d workers: not played: %v", size.Nodes, size.Workers, why)
+			plan.printf("%d nodes, %d workers: skipped: %v", size.Nodes, size.Workers, why)
 			continue
 		}
 		result.Load = append(result.Load, LoadAverage())
-		step, err := plan.playStep(ctx, i, size, bounds)
+		step, err := plan.runStep(ctx, i, size, bounds)
 		if err != nil {
 			return result, fmt.Errorf("%d nodes, %d workers: %w", size.Nodes, size.Workers, err)
 		}
@@ -73,8 +74,8 @@
 
 func (p Plan) printf(format string, values ...any) { fmt.Fprintf(p.Progress, format+"\n", values...) }
 
-// playStep measures one size with a fleet of its own.
-func (p Plan) playStep(ctx context.Context, index int, size scalereport.Size, bounds scalereport.Bounds) (scalereport.Step, error) {
+// runStep measures one size with a new fleet.
+func (p Plan) runStep(ctx context.Context, index int, size scalereport.Size, bounds scalereport.Bounds) (scalereport.Step, error) {
 	ctx, cancel := context.WithTimeout(ctx, p.Limit)
 	defer cancel()
 	directory := filepath.Join(p.Directory, fmt.Sprintf("step-%d", index+1))
@@ -83,7 +84,7 @@
 	}
 	defer os.RemoveAll(directory)
 	fleet, err := localfleet.New(localfleet.Layout{Binary: p.Binary, Directory: directory, Servers: p.Servers,
-		Edges: p.Edges, Tolerance: p.Tolerance, LogLevel: "warn", Cores: coresOfProcess, MemoryMb: memoryOfProcess})
+		Edges: p.Edges, Tolerance: p.Tolerance, LogLevel: "warn", Cores: coresPerProcess, MemoryMb: memoryPerProcess})
 	if err != nil {
 		return scalereport.Step{}, err
 	}
@@ -91,7 +92,7 @@
 	defer s.close()
 	started := time.Now()
 	p.printf("%d nodes, %d workers, %d control plane servers, %d routes (load average %.1f)", size.Nodes, size.Workers, p.Servers, p.Routes, LoadAverage())
-	err = s.play(ctx)
+	err = s.run(ctx)
 	s.step.TookS = time.Since(started).Seconds()
 	return s.step, err
 }
--- a/internal/testkit/scalerun/plan_test.go
+++ b/internal/testkit/scalerun/plan_test.go
@@ -16,7 +16,7 @@
 	"ospreybend/internal/testkit/scalereport"
 )
 
-// binary is the fleet's program, built once for all tests.
+// binary is the path of the fleet's executable, built once for all tests.
 var binary string
 
 func TestMain(m *testing.M) { os.Exit(buildAndRun(m)) }
@@ -42,7 +42,7 @@
 	testLimit   = 40 * time.Second
 )
 
-// TestPlay_shortRun runs the complete measurement with a few nodes.
+// TestPlay_shortRun runs all phases of the measurement with a few nodes.
 func TestPlay_shortRun(t *testing.T) {
 	sizes := []scalereport.Size{{Nodes: 4, Workers: 6}, {Nodes: 8, Workers: 9}}
 	var progress strings.Builder
@@ -50,35 +50,38 @@
 		Servers: 3, Edges: 1, Routes: 20, Window: testWindow, Windows: 2, Changes: testChanges, FarEvery: 3,
 		Far: localfleet.Link{Delay: 20 * time.Millisecond}, Heartbeat: 100 * time.Millisecond, Limit: testLimit, Progress: &progress})
 	if err != nil || len(result.Steps) != len(sizes) {
-		t.Fatalf("%d steps, %v\n%s", len(result.Steps), err, progress.String())
+		t.Fatalf("Play: got %d steps, want %d; error %v\n%s", len(result.Steps), len(sizes), err, progress.String())
 	}
 	for _, step := range result.Steps {
 		checkStep(t, step)
 	}
 	if len(result.Trends) == 0 {
-		t.Error("nothing was fitted")
+		t.Error("Play: got no trends")
 	}
 }
 
-// checkStep fails unless all phases have plausible figures.
+// checkStep fails the test unless all phases have plausible figures.
 func checkStep(t *testing.T, step scalereport.Step) {
 	t.Helper()
 	hollow := step.Size.Nodes - 1
 	far := hollow / 3
 	if step.InForce.Count != (hollow-far)*testChanges || step.InForceFar.Count != far*testChanges {
-		t.Errorf("%d nodes: changes seen %d times near and %d far", step.Size.Nodes, step.InForce.Count, step.InForceFar.Count)
+		t.Errorf("%d nodes: changes received %d times by near agents and %d times by far ones, want %d and %d", step.Size.Nodes, step.InForce.Count,
+			step.InForceFar.Count, (hollow-far)*testChanges, far*testChanges)
 	}
 	if far > 0 && step.InForceFar.P50 < 20 {
-		t.Errorf("%d nodes: a link of 20 ms took %.1f ms", step.Size.Nodes, step.InForceFar.P50)
+		t.Errorf("%d nodes: changes over a link of 20 ms: got a median of %.1f ms, want at least 20", step.Size.Nodes, step.InForceFar.P50)
 	}
 	if step.Known.Count != hollow || step.Known.Max <= 0 || step.AckedAfter <= 0 || step.AllAfter < step.AckedAfter/2 || step.CaughtUp <= 0 {
-		t.Errorf("%d nodes: restart %+v, after the loss %v and %v", step.Size.Nodes, step.Known, step.AckedAfter, step.AllAfter)
+		t.Errorf("%d nodes: agents restarted %+v, want a count of %d; server lost: change acknowledged %v ms, at all agents %v ms, server current %v ms, want all above 0",
+			step.Size.Nodes, step.Known, hollow, step.AckedAfter, step.AllAfter, step.CaughtUp)
 	}
 	if step.Blackout.Count != hollow || step.Blackout.Max <= 0 || step.BlackoutAcked <= 0 || step.BlackoutProxies <= 0 {
-		t.Errorf("%d nodes: after all were killed %+v, %v and %v", step.Size.Nodes, step.Blackout, step.BlackoutAcked, step.BlackoutProxies)
+		t.Errorf("%d nodes: all processes restarted: agents %+v, want a count of %d; change acknowledged %v ms, at proxies %v ms, want both above 0",
+			step.Size.Nodes, step.Blackout, hollow, step.BlackoutAcked, step.BlackoutProxies)
 	}
 	if step.Hollow.FeedInKB <= 0 || step.Hollow.HeartbeatsAcknowledged <= 0 || step.Hollow.SnapshotKB <= 0 {
-		t.Errorf("%d nodes: hollow %+v", step.Size.Nodes, step.Hollow)
+		t.Errorf("%d nodes: FeedInKB, HeartbeatsAcknowledged and SnapshotKB must be above 0: %+v", step.Size.Nodes, step.Hollow)
 	}
 	roles := map[string]int{}
 	for _, process := range step.Processes {
@@ -87,7 +90,7 @@
 		}
 	}
 	if roles["controlplane"] != 6 || roles["agent"] != 2 || roles["proxy"] != 2 {
-		t.Errorf("%d nodes: processes at rest %v", step.Size.Nodes, roles)
+		t.Errorf("%d nodes: idle phase: got usage records by role %v, want controlplane 6, agent 2, proxy 2", step.Size.Nodes, roles)
 	}
 }
 
@@ -96,11 +99,11 @@
 	steps, err := PlayTraffic(t.Context(), TrafficPlan{Binary: binary, Directory: t.TempDir(), Rates: []scalereport.Rate{{Requests: 20, Tokens: 5}, {Requests: 40, Tokens: 5}},
 		Workers: 3, TokenTime: 2 * time.Millisecond, Window: testWindow, Windows: 2, Limit: testLimit, Progress: io.Discard})
 	if err != nil || len(steps) != 2 {
-		t.Fatalf("%d steps, %v", len(steps), err)
+		t.Fatalf("PlayTraffic: got %d steps, want 2; error %v", len(steps), err)
 	}
 	for _, step := range steps {
 		if step.Served <= 0 || step.Events <= 0 || step.Failed > 0 || step.First.Count == 0 || len(step.Windows) != 2 {
-			t.Errorf("%+v", step)
+			t.Errorf("step must have served requests, events, first events, no failures and 2 windows: %+v", step)
 		}
 	}
 }
@@ -108,7 +111,7 @@
 func TestPlay_sizesBeyondTheMachine(t *testing.T) {
 	result, err := Play(t.Context(), Plan{Sizes: []scalereport.Size{{Nodes: 1 << 24, Workers: 1}}, Servers: 3, Progress: io.Discard})
 	if err != nil || len(result.Steps) != 0 || len(result.Cuts) != 1 || result.Cuts[0].Why == "" {
-		t.Errorf("%+v, %v", result, err)
+		t.Errorf("Play of a size beyond the machine: got %+v, %v, want no step and one skipped size with a reason", result, err)
 	}
 }
 
@@ -118,18 +121,18 @@
 	_, err := Play(ctx, Plan{Binary: binary, Directory: t.TempDir(), Sizes: []scalereport.Size{{Nodes: 2, Workers: 1}}, Servers: 3,
 		Edges: 1, Routes: 1, Windows: 1, Limit: testLimit, Progress: io.Discard})
 	if err == nil {
-		t.Error("no error")
+		t.Error("Play with a cancelled context: got no error")
 	}
 }
 
 func TestDocument_valid(t *testing.T) {
-	command := configuration.Command{Kind: configuration.CommandReplace, Body: document(1, 20)}
+	command := configuration.Command{Kind: configuration.CommandReplace, Body: configurationDocument(1, 20)}
 	if refusal := configuration.ValidateCommand(command); refusal != nil {
-		t.Errorf("complete document: %v", refusal)
+		t.Errorf("configurationDocument(1, 20): rejected: %v", refusal)
 	}
-	command = configuration.Command{Kind: configuration.CommandUpdate, Base: 1, Body: oneRoute(2, 3)}
+	command = configuration.Command{Kind: configuration.CommandUpdate, Base: 1, Body: routeChange(2, 3)}
 	if refusal := configuration.ValidateCommand(command); refusal != nil {
-		t.Errorf("change: %v", refusal)
+		t.Errorf("routeChange(2, 3): rejected: %v", refusal)
 	}
 }
 
@@ -141,6 +144,6 @@
 		}
 	}
 	if prefill != 204 {
-		t.Errorf("%d of 600 read prompts, want 204", prefill)
+		t.Errorf("prefill workers among 600: got %d, want 204", prefill)
 	}
 }
--- a/internal/testkit/scalerun/procfs.go
+++ b/internal/testkit/scalerun/procfs.go
@@ -13,12 +13,12 @@
 	"ospreybend/internal/testkit/scalereport"
 )
 
-// readCounters reads what a process has used.
+// readCounters reads the resource counters of a process from /proc.
 func readCounters(pid int) (scalereport.Counters, error) {
 	directory := filepath.Join("/proc", strconv.Itoa(pid))
 	stat, err := os.ReadFile(filepath.Join(directory, "stat"))
 	if err != nil {
-		return scalereport.Counters{}, eris.Wrap(err, "process")
+		return scalereport.Counters{}, eris.Wrap(err, "read process stat")
 	}
 	processor, err := scalereport.ProcessorTime(string(stat))
 	if err != nil {
@@ -37,7 +37,7 @@
 		Switches: switches(directory)}, nil
 }
 
-// switches returns how often the threads of a process have waited.
+// switches returns the number of voluntary context switches of all threads of a process.
 func switches(directory string) int64 {
 	threads, _ := filepath.Glob(filepath.Join(directory, "task", "*", "status"))
 	var sum int64
@@ -49,15 +49,16 @@
 	return sum
 }
 
+// readNamed reads the "NAME: NUMBER" lines of a file below /proc.
 func readNamed(path string) (map[string]int64, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, eris.Wrap(err, "process")
+		return nil, eris.Wrap(err, "read /proc file")
 	}
 	return scalereport.Named(string(text)), nil
 }
 
-// machineBounds returns what a run may use of this machine.
+// machineBounds returns the resources that a run may use on this machine.
 func machineBounds() (scalereport.Bounds, error) {
 	memory, err := readNamed("/proc/meminfo")
 	if err != nil {
@@ -65,12 +66,12 @@
 	}
 	var files unix.Rlimit
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &files); err != nil {
-		return scalereport.Bounds{}, eris.Wrap(err, "limit of descriptors")
+		return scalereport.Bounds{}, eris.Wrap(err, "read the limit of file descriptors")
 	}
 	return scalereport.BoundsOf(memory["MemTotal"], int(min(files.Cur, 1<<30))), nil
 }
 
-// machineName describes the processors and memory.
+// machineName describes the machine by its number of processors and its memory.
 func machineName(processors int) string {
 	memory, _ := readNamed("/proc/meminfo")
 	return fmt.Sprintf("%d processors, %d MB", processors, memory["MemTotal"]>>20)
--- a/internal/testkit/scalerun/step.go
+++ b/internal/testkit/scalerun/step.go
@@ -21,40 +21,40 @@
 )
 
 const (
-	poll         = 5 * time.Millisecond
-	monitorPlace = 2 // of the port range: where agents answer probes
-	workerSlots  = 64
+	pollInterval      = 5 * time.Millisecond
+	monitorPortOffset = 2 // offset in the port range of the port for health checks
+	workerSlots       = 64
 )
 
-// ErrMemory ends a step whose processes use more memory than the run may.
+// ErrMemory is returned if the processes of a step use more memory than a run may.
 var ErrMemory = errors.New("scale: the processes use more than half of the machine's memory")
 
-// stepRun is the measurement of one size.
+// stepRun is the state of the measurement at one size.
 type stepRun struct {
-	plan       Plan
-	fleet      *localfleet.Fleet
-	operator   *localfleet.Operator
-	bounds     scalereport.Bounds
-	step       scalereport.Step
-	hollow     hollowAgents
-	monitoring monitoring
-	taken      atomic.Int64 // heartbeats acknowledged
-	refused    atomic.Int64
-	mutex      sync.Mutex
-	failures   map[string]int
-	known      atomic.Int64 // workers of which one was acknowledged
-	workers    sync.WaitGroup
-	generation uint64
-	stopAll    context.CancelFunc
+	plan                   Plan
+	fleet                  *localfleet.Fleet
+	operator               *localfleet.Operator
+	bounds                 scalereport.Bounds
+	step                   scalereport.Step
+	hollow                 hollowAgents
+	monitoring             monitoring
+	acknowledgedHeartbeats atomic.Int64
+	failedHeartbeats       atomic.Int64
+	mutex                  sync.Mutex
+	failures               map[string]int
+	registeredWorkers      atomic.Int64 // workers with at least one acknowledged heartbeat
+	workers                sync.WaitGroup
+	generation             uint64
+	stopAll                context.CancelFunc
 }
 
 func newStepRun(plan Plan, size scalereport.Size, fleet *localfleet.Fleet, bounds scalereport.Bounds) *stepRun {
 	return &stepRun{plan: plan, fleet: fleet, bounds: bounds, operator: localfleet.NewOperator(fleet.Control()),
 		step:   scalereport.Step{Size: size, Servers: plan.Servers, Edges: plan.Edges, Routes: plan.Routes},
-		hollow: hollowAgents{traffic: new(traffic)}, failures: map[string]int{}, stopAll: func() {}}
+		hollow: hollowAgents{traffic: new(feedTraffic)}, failures: map[string]int{}, stopAll: func() {}}
 }
 
-// close stops all that the step has started.
+// close stops everything that the step has started.
 func (s *stepRun) close() {
 	s.stopAll()
 	s.fleet.KillAll()
@@ -64,15 +64,15 @@
 }
 
 func (s *stepRun) await(ctx context.Context, what string, check func() bool) error {
-	if err := localfleet.Await(ctx, poll, check); err != nil {
-		return fmt.Errorf("%s: %w", what, err)
+	if err := localfleet.Await(ctx, pollInterval, check); err != nil {
+		return fmt.Errorf("waiting for %s: %w", what, err)
 	}
 	return nil
 }
 
-// play runs the phases in turn.
-func (s *stepRun) play(ctx context.Context) error {
-	for _, phase := range []func(context.Context) error{s.begin, s.measureIdle, s.measureChanges, s.measureLoss, s.measureRestart, s.measureFullRestart} {
+// run runs the phases in order.
+func (s *stepRun) run(ctx context.Context) error {
+	for _, phase := range []func(context.Context) error{s.startFleet, s.measureIdle, s.measureChanges, s.measureLoss, s.measureRestart, s.measureFullRestart} {
 		if err := phase(ctx); err != nil {
 			return err
 		}
@@ -80,8 +80,8 @@
 	return nil
 }
 
-// begin starts the fleet, gives it its configuration and its workers.
-func (s *stepRun) begin(ctx context.Context) error {
+// startFleet starts the fleet and the hollow nodes, sends the first configuration and registers the workers.
+func (s *stepRun) startFleet(ctx context.Context) error {
 	if err := s.fleet.StartAll(); err != nil {
 		return err
 	}
@@ -90,24 +90,24 @@
 	if err := s.startNodes(inner); err != nil {
 		return err
 	}
-	if err := s.await(ctx, "agents without a server", s.hollow.complete); err != nil {
+	if err := s.await(ctx, "agents to have all shards", s.hollow.complete); err != nil {
 		return err
 	}
 	if err := s.firstConfiguration(ctx); err != nil {
 		return err
 	}
 	s.startWorkers(inner)
-	if err := s.await(ctx, "workers are not known", func() bool { return int(s.known.Load()) == s.step.Size.Workers }); err != nil {
+	if err := s.await(ctx, "all workers to be registered", func() bool { return int(s.registeredWorkers.Load()) == s.step.Size.Workers }); err != nil {
 		return err
 	}
-	s.plan.printf("  whole configuration of %d kB at all agents after %.0f ms; all workers known", s.step.Hollow.DocumentBytes/1000, s.step.FirstConfiguration)
+	s.plan.printf("  first configuration of %d kB at all agents after %.0f ms; all workers registered", s.step.Hollow.DocumentBytes/1000, s.step.FirstConfiguration)
 	pause(ctx, s.plan.WarmUp)
 	return s.checkMemory()
 }
 
-// firstConfiguration sends a complete configuration and waits until all have it.
+// firstConfiguration sends a complete configuration and waits until all agents and real proxies have it.
 func (s *stepRun) firstConfiguration(ctx context.Context) error {
-	body := document(1, s.plan.Routes)
+	body := configurationDocument(1, s.plan.Routes)
 	s.step.Hollow.DocumentBytes = len(body)
 	sent := time.Now()
 	if err := s.operator.Replace(ctx, 0, body); err != nil {
@@ -117,8 +117,8 @@
 	if err := s.awaitGeneration(ctx); err != nil {
 		return err
 	}
-	s.step.FirstConfiguration = slices.Max(append(s.hollow.since(sent, allAgents, generationAt), 0))
-	return s.await(ctx, "a proxy without the configuration", func() bool { return s.proxyHas(ctx) })
+	s.step.FirstConfiguration = slices.Max(append(s.hollow.elapsed(sent, allAgents, generationAt), 0))
+	return s.await(ctx, "proxies to have the first configuration", func() bool { return s.proxiesCurrent(ctx) })
 }
 
 func allAgents(int) bool { return true }
@@ -126,13 +126,13 @@
 func generationAt(state agentState) time.Time { return state.generationAt }
 
 func (s *stepRun) awaitGeneration(ctx context.Context) error {
-	return s.await(ctx, "agents without a change", func() bool {
+	return s.await(ctx, "agents to have a change", func() bool {
 		return s.hollow.all(func(state agentState) bool { return state.generation >= s.generation })
 	})
 }
 
-// proxyHas reports whether all real proxies have the configuration sent last, by their figures.
-func (s *stepRun) proxyHas(ctx context.Context) bool {
+// proxiesCurrent reports whether all real proxies have the latest configuration according to their metrics.
+func (s *stepRun) proxiesCurrent(ctx context.Context) bool {
 	for edge := range s.plan.Edges {
 		response, err := s.operator.Ask(ctx, s.fleet.Readiness(edge), "GET", "/-/metrics", 0, nil)
 		if err != nil || !strings.Contains(string(response.Body), fmt.Sprintf("view_generation %d\n", s.generation)) {
@@ -142,7 +142,7 @@
 	return true
 }
 
-// startNodes starts the hollow nodes: their monitoring and their links.
+// startNodes starts the feed clients and the monitoring of the hollow nodes.
 func (s *stepRun) startNodes(ctx context.Context) error {
 	hollow := s.step.Size.Nodes - s.plan.Edges
 	ports := s.fleet.PortRange()
@@ -153,21 +153,23 @@
 	for i := range max(hollow, 0) {
 		options := agentOptions{node: fmt.Sprintf("hollow-%d", i+1), zone: localfleet.Zone(i), ip: s.fleet.HollowIP(i),
 			seeds: s.fleet.Control()[:min(3, s.plan.Servers)], feedPort: ports[0], traffic: s.hollow.traffic}
-		if s.far(i) {
-			options.slow = slow
+		if s.isFar(i) {
+			options.relayAddresses = slow
 		}
 		s.hollow.options = append(s.hollow.options, options)
 	}
 	s.hollow.start(ctx)
-	return s.startMonitors(ctx, ports[0]+monitorPlace)
+	return s.startMonitors(ctx, ports[0]+monitorPortOffset)
 }
 
-func (s *stepRun) far(i int) bool {
+// isFar reports whether the i-th hollow agent has a far link.
+func (s *stepRun) isFar(i int) bool {
 	return s.plan.FarEvery > 0 && i%s.plan.FarEvery == s.plan.FarEvery-1
 }
 
-func (s *stepRun) near(i int) bool { return !s.far(i) }
+func (s *stepRun) isNear(i int) bool { return !s.isFar(i) }
 
+// farLinks opens the relays of the far links and returns their addresses by server address.
 func (s *stepRun) farLinks() (map[string]string, error) {
 	if s.plan.FarEvery == 0 {
 		return nil, nil
@@ -175,14 +177,14 @@
 	return s.fleet.SlowPeers(s.plan.Far)
 }
 
-// startMonitors has the hollow nodes and the first edge monitor each other.
+// startMonitors makes the hollow nodes monitor each other and the first real edge.
 func (s *stepRun) startMonitors(ctx context.Context, port int) error {
 	var nodes []membership.Node
 	for _, options := range s.hollow.options {
-		nodes = append(nodes, monitored(options.ip, port))
+		nodes = append(nodes, monitoredNode(options.ip, port))
 	}
 	if s.plan.Edges > 0 {
-		nodes = append(nodes, monitored(s.fleet.EdgeIP(0), port))
+		nodes = append(nodes, monitoredNode(s.fleet.EdgeIP(0), port))
 	}
 	for i := range s.hollow.options {
 		if err := startMonitor(ctx, nodes[i].Address.Addr(), port, nodes, &s.monitoring); err != nil {
@@ -192,11 +194,11 @@
 	return nil
 }
 
-func monitored(ip string, port int) membership.Node {
+func monitoredNode(ip string, port int) membership.Node {
 	return membership.Node{Name: ip, Address: netip.AddrPortFrom(netip.MustParseAddr(ip), uint16(port))}
 }
 
-// startWorkers registers all workers.
+// startWorkers starts the registration of all workers.
 func (s *stepRun) startWorkers(ctx context.Context) {
 	for i := range s.step.Size.Workers {
 		at := i % s.plan.Servers
@@ -207,35 +209,35 @@
 		s.workers.Go(func() {
 			fakemodelworker.Register(ctx, options, func(err error) {
 				if err != nil {
-					s.failed(err)
+					s.recordFailure(err)
 					return
 				}
-				s.taken.Add(1)
+				s.acknowledgedHeartbeats.Add(1)
 				if first {
 					first = false
-					s.known.Add(1)
+					s.registeredWorkers.Add(1)
 				}
 			})
 		})
 	}
 }
 
-// failed counts a heartbeat that was not acknowledged.
-func (s *stepRun) failed(err error) {
-	s.refused.Add(1)
+// recordFailure counts a heartbeat that was not acknowledged.
+func (s *stepRun) recordFailure(err error) {
+	s.failedHeartbeats.Add(1)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.failures[err.Error()]++
 }
 
-// failuresSoFar returns a copy of the counts.
+// failuresSoFar returns a copy of the counts of failed heartbeats by error.
 func (s *stepRun) failuresSoFar() map[string]int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return maps.Clone(s.failures)
 }
 
-// checkMemory fails if all processes together use too much memory.
+// checkMemory returns ErrMemory if this process and the fleet's processes together exceed the memory bound.
 func (s *stepRun) checkMemory() error {
 	own, err := readCounters(os.Getpid())
 	if err != nil {
@@ -253,7 +255,7 @@
 	return nil
 }
 
-// pause waits for a time or until the context ends.
+// pause waits for the given time or until the context ends.
 func pause(ctx context.Context, span time.Duration) {
 	timer := time.NewTimer(span)
 	defer timer.Stop()
@@ -263,5 +265,5 @@
 	}
 }
 
-// round rounds a figure to three decimals.
+// round rounds to three decimals.
 func round(value float64) float64 { return math.Round(value*1000) / 1000 }
--- a/internal/testkit/scalerun/traffic.go
+++ b/internal/testkit/scalerun/traffic.go
@@ -16,13 +16,13 @@
 	"ospreybend/internal/util/http1"
 )
 
-// TrafficPlan describes the load with which one proxy is measured.
+// TrafficPlan describes a measurement of one proxy under load.
 type TrafficPlan struct {
 	Binary    string
 	Directory string
 	Rates     []scalereport.Rate
 	Workers   int
-	TokenTime time.Duration // between two tokens of a worker
+	TokenTime time.Duration // time between two tokens of a stream
 	Window    time.Duration
 	Windows   int
 	Limit     time.Duration
@@ -31,32 +31,32 @@
 
 const (
 	promptTokens = 1200
-	prefillEvery = 3 // one in so many workers is a prefill worker
+	prefillEvery = 3 // every prefillEvery-th worker is a prefill worker
 	statusServed = 200
 )
 
-var errIncompleteResponse = errors.New("a request was not served whole")
+var errIncompleteResponse = errors.New("response is not a complete stream with status 200")
 
-// trafficRun is an open-loop load on one proxy.
+// trafficRun generates open-loop load on one proxy.
 type trafficRun struct {
-	plan     TrafficPlan
-	fleet    *localfleet.Fleet
-	pool     *upstream.Pool
-	served   atomic.Int64
-	failed   atomic.Int64
-	events   atomic.Int64
-	number   atomic.Int64
-	mutex    sync.Mutex
-	first    []float64 // milliseconds to the first event
-	requests sync.WaitGroup
+	plan         TrafficPlan
+	fleet        *localfleet.Fleet
+	pool         *upstream.Pool
+	served       atomic.Int64
+	failed       atomic.Int64
+	events       atomic.Int64
+	number       atomic.Int64
+	mutex        sync.Mutex
+	firstEventMs []float64 // milliseconds to the first event
+	requests     sync.WaitGroup
 }
 
-// PlayTraffic measures one proxy at each rate. On an error the result has the rates before it.
+// PlayTraffic measures one proxy at each rate. If it returns an error, the result has the rates measured so far.
 func PlayTraffic(ctx context.Context, plan TrafficPlan) ([]scalereport.TrafficStep, error) {
 	ctx, cancel := context.WithTimeout(ctx, plan.Limit)
 	defer cancel()
 	fleet, err := localfleet.New(localfleet.Layout{Binary: plan.Binary, Directory: plan.Directory, Servers: 1, Edges: 1,
-		LogLevel: "warn", Cores: coresOfProcess, MemoryMb: memoryOfProcess})
+		LogLevel: "warn", Cores: coresPerProcess, MemoryMb: memoryPerProcess})
 	if err != nil {
 		return nil, err
 	}
@@ -67,12 +67,12 @@
 		l.requests.Wait()
 		l.pool.Close()
 	}()
-	if err := l.begin(ctx); err != nil {
+	if err := l.startFleet(ctx); err != nil {
 		return nil, err
 	}
 	var steps []scalereport.TrafficStep
 	for _, rate := range plan.Rates {
-		steps = append(steps, l.step(ctx, rate))
+		steps = append(steps, l.measureRate(ctx, rate))
 		if ctx.Err() != nil {
 			return steps, ctx.Err()
 		}
@@ -80,8 +80,8 @@
 	return steps, nil
 }
 
-// begin starts the fleet and its workers and waits until the proxy serves.
-func (l *trafficRun) begin(ctx context.Context) error {
+// startFleet starts the fleet and its workers and waits until the proxy serves a request.
+func (l *trafficRun) startFleet(ctx context.Context) error {
 	if err := l.fleet.StartAll(); err != nil {
 		return err
 	}
@@ -100,22 +100,22 @@
 	}
 	operator := localfleet.NewOperator(l.fleet.Control())
 	defer operator.Close()
-	if err := operator.Replace(ctx, 0, document(1, 1)); err != nil {
+	if err := operator.Replace(ctx, 0, configurationDocument(1, 1)); err != nil {
 		return err
 	}
-	return localfleet.Await(ctx, poll, func() bool { return l.send(ctx, 1) == nil })
+	return localfleet.Await(ctx, pollInterval, func() bool { return l.send(ctx, 1) == nil })
 }
 
-// step gives the proxy a rate, waits until as many streams run as will, and measures.
-func (l *trafficRun) step(ctx context.Context, rate scalereport.Rate) scalereport.TrafficStep {
+// measureRate sends requests at a rate, waits until the number of open streams is steady, and measures.
+func (l *trafficRun) measureRate(ctx context.Context, rate scalereport.Rate) scalereport.TrafficStep {
 	ctx, cancel := context.WithCancel(ctx)
 	defer l.requests.Wait()
 	defer cancel()
-	l.requests.Go(func() { l.offer(ctx, rate) })
+	l.requests.Go(func() { l.sendAtRate(ctx, rate) })
 	pause(ctx, time.Duration(rate.Tokens)*l.plan.TokenTime+time.Second)
 	step := scalereport.TrafficStep{Rate: rate}
 	l.mutex.Lock()
-	l.first = nil
+	l.firstEventMs = nil
 	l.mutex.Unlock()
 	served, failed, events, started := l.served.Load(), l.failed.Load(), l.events.Load(), time.Now()
 	for window := range l.plan.Windows {
@@ -128,14 +128,14 @@
 	step.Served, step.Events = float64(l.served.Load()-served)/seconds, float64(l.events.Load()-events)/seconds
 	step.Failed = l.failed.Load() - failed
 	l.mutex.Lock()
-	step.First = scalereport.PercentilesOf(l.first)
+	step.First = scalereport.PercentilesOf(l.firstEventMs)
 	l.mutex.Unlock()
 	fmt.Fprintf(l.plan.Progress, "%d requests/s of %d tokens: %.1f served/s, %.0f events/s, %d failed, first event p50 %.0f, p95 %.0f ms\n",
 		rate.Requests, rate.Tokens, step.Served, step.Events, step.Failed, step.First.P50, step.First.P95)
 	return step
 }
 
-// measure returns the proxy's use over one window.
+// measure returns the proxy's resource usage over one window.
 func (l *trafficRun) measure(ctx context.Context) scalereport.Use {
 	pid := l.fleet.Proxy(0).PID()
 	before, err := readCounters(pid)
@@ -148,8 +148,8 @@
 	return scalereport.UseBetween(before, after, time.Since(at))
 }
 
-// offer sends requests at a rate, whatever their outcome, until ctx ends.
-func (l *trafficRun) offer(ctx context.Context, rate scalereport.Rate) {
+// sendAtRate sends requests at a fixed rate, independent of their outcome, until ctx ends.
+func (l *trafficRun) sendAtRate(ctx context.Context, rate scalereport.Rate) {
 	ticker := time.NewTicker(time.Second / time.Duration(rate.Requests))
 	defer ticker.Stop()
 	for {
@@ -169,7 +169,7 @@
 	}
 }
 
-// send sends one request and reads its stream.
+// send sends one request and reads its stream to the end.
 func (l *trafficRun) send(ctx context.Context, tokens int) error {
 	number, sent := l.number.Add(1), time.Now()
 	response, failure := l.pool.RoundTrip(ctx, &upstream.Request{Address: l.fleet.Front(0), Method: "POST", Target: "/v1/chat", StreamEvents: true,
@@ -197,15 +197,15 @@
 			return errIncompleteResponse
 		}
 		if came == 0 {
-			l.noteFirst(milliseconds(time.Since(sent)))
+			l.recordFirstEvent(milliseconds(time.Since(sent)))
 		}
 		came += len(batch.Events)
 		l.events.Add(int64(len(batch.Events)))
 	}
 }
 
-func (l *trafficRun) noteFirst(after float64) {
+func (l *trafficRun) recordFirstEvent(after float64) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.first = append(l.first, after)
+	l.firstEventMs = append(l.firstEventMs, after)
 }
