--- a/cmd/inference-router/demo.go
+++ b/cmd/inference-router/demo.go
@@ -120,7 +120,7 @@
 func (d *demoRun) startWorkers(ctx context.Context) error {
 	for i := range demoWorkers + 1 {
 		options := fakemodelworker.Options{ID: fmt.Sprintf("worker-%d", i+1), Zone: localfleet.Zone(i), Service: "model",
-			Stage: []string{"prefill", "decode"}[i%2], Address: d.fleet.Worker(i), Slots: demoWorkerSlots, Control: d.fleet.Control(),
+			Stage: []string{"prefill", "decode"}[i%2], Address: d.fleet.WorkerAddress(i), Slots: demoWorkerSlots, Control: d.fleet.ControlAddresses(),
 			HeartbeatInterval: time.Second, PrefillRate: 40, TokenTime: 6 * time.Millisecond, PlainTime: 30 * time.Millisecond, Handles: &d.handles}
 		if i == demoWorkers {
 			options.Service, options.Stage = "store", ""
@@ -136,7 +136,7 @@
 
 // configure sends the configuration to the first control plane server and reports whether the server accepted it.
 func (d *demoRun) configure(ctx context.Context) bool {
-	control := d.fleet.Control()[0]
+	control := d.fleet.ControlAddresses()[0]
 	response, failure := d.pool.RoundTrip(ctx, &upstream.Request{Address: control, Method: "POST", Target: "/-/Config.Replace",
 		Header: http1.Header{{Name: "Host", Value: control}, {Name: "X-Base-Version", Value: "0"},
 			{Name: "Content-Type", Value: "application/json"}}, Body: []byte(demoConfiguration)})
@@ -145,7 +145,7 @@
 
 // proxyReady reports whether the proxy's readiness endpoint answers 200.
 func (d *demoRun) proxyReady(ctx context.Context, edge int) bool {
-	address := d.fleet.Readiness(edge)
+	address := d.fleet.ReadinessAddress(edge)
 	response, failure := d.pool.RoundTrip(ctx, &upstream.Request{Address: address, Method: "GET", Target: "/-/ready",
 		Header: http1.Header{{Name: "Host", Value: address}}})
 	return failure == nil && response.Status == 200
@@ -182,7 +182,7 @@
 // sendRequest sends one request and returns its status and the number of events received. Status 0 means that there was no
 // response or that its event stream broke off.
 func (d *demoRun) sendRequest(ctx context.Context, edge, route int, id string) (status, events int) {
-	request := &upstream.Request{Address: d.fleet.Front(edge), Method: "POST", Target: []string{"/chat/talk", "/files/one"}[route],
+	request := &upstream.Request{Address: d.fleet.ProxyAddress(edge), Method: "POST", Target: []string{"/chat/talk", "/files/one"}[route],
 		Header: http1.Header{{Name: "Host", Value: "demo.example"}, {Name: "X-Request-Id", Value: fmt.Sprintf("%s-%d-%d", id, edge, route)},
 			{Name: "X-Request-Deadline", Value: fmt.Sprint(demoDeadlineMs)}}, Body: []byte("{}"), StreamEvents: true}
 	if route == chatRoute {
--- a/cmd/ospreybend/measure_fleet.go
+++ b/cmd/ospreybend/measure_fleet.go
@@ -52,9 +52,9 @@
 func dayKinds() []dayKind {
 	return []dayKind{
 		{"calm", func(d nodesim.Day) nodesim.Day { return d }},
-		{"released", nodesim.Day.Released},
-		{"returned", nodesim.Day.Returned},
-		{"killed", nodesim.Day.Killed},
+		{"released", nodesim.Day.WithRelease},
+		{"returned", nodesim.Day.WithWorkerLoss},
+		{"killed", nodesim.Day.WithNodeKill},
 	}
 }
 
@@ -80,10 +80,10 @@
 	var group errgroup.Group
 	group.SetLimit(runtime.NumCPU())
 	for i := range c.Days {
-		days[i] = kind.derive(nodesim.Workshop(c.Nodes, c.Workers, c.First+uint64(i)))
+		days[i] = kind.derive(nodesim.ReferenceDay(c.Nodes, c.Workers, c.First+uint64(i)))
 		days[i].Load = c.Load
 		group.Go(func() (err error) {
-			results[i], err = nodesim.Play(days[i])
+			results[i], err = nodesim.Simulate(days[i])
 			return err
 		})
 	}
@@ -98,7 +98,7 @@
 	row := daysRow{Kind: kind}
 	sum, squares, count := 0.0, 0.0, float64(len(days))
 	for i, result := range results {
-		g := result.G(days[i])
+		g := result.Score(days[i])
 		sum, squares = sum+g, squares+g*g
 		row.add(result, count)
 	}
--- a/internal/testkit/scalereport/bounds.go
+++ b/internal/testkit/scalereport/bounds.go
@@ -33,7 +33,7 @@
 )
 
 // NeedOf estimates the resources of a fleet.
-func NeedOf(size Size, servers, edges, routes int) Need {
+func EstimateNeed(size Size, servers, edges, routes int) Need {
 	processes := servers + 2*edges
 	return Need{
 		Memory: memoryBase + int64(size.Nodes+size.Workers)*memoryPerHollow +
@@ -57,7 +57,7 @@
 }
 
 // BoundsOf returns the bounds for a machine with the given memory in bytes and limit of file descriptors.
-func BoundsOf(memory int64, descriptors int) Bounds {
+func NewBounds(memory int64, descriptors int) Bounds {
 	return Bounds{Memory: memory / 2, Descriptors: descriptors, Processes: maxProcesses}
 }
 
--- a/internal/testkit/scalereport/process.go
+++ b/internal/testkit/scalereport/process.go
@@ -52,7 +52,7 @@
 
 // Named parses "NAME: NUMBER [kB]" lines as in /proc/PID/status and /proc/PID/io. Numbers in kB are returned in bytes;
 // lines without a number are skipped.
-func Named(text string) map[string]int64 {
+func ParseNamedNumbers(text string) map[string]int64 {
 	values := map[string]int64{}
 	for line := range strings.Lines(text) {
 		name, rest, found := strings.Cut(line, ":")
@@ -73,7 +73,7 @@
 }
 
 // Use is the resource usage of a process over an interval.
-type Use struct {
+type Usage struct {
 	Processor float64 `json:"processorPercent"` // CPU time in percent of one core
 	MemoryMB  float64 `json:"memoryMB"`         // resident memory at the end
 	PeakMB    float64 `json:"peakMB"`           // highest resident memory since the process started
@@ -91,9 +91,9 @@
 )
 
 // UseBetween returns the usage between two readings of the counters, taken span apart.
-func UseBetween(before, after Counters, span time.Duration) Use {
+func UsageBetween(before, after Counters, span time.Duration) Usage {
 	seconds := span.Seconds()
-	return Use{
+	return Usage{
 		Processor: percent * (after.Processor - before.Processor).Seconds() / seconds,
 		MemoryMB:  float64(after.Resident) / megabyte,
 		PeakMB:    float64(after.Peak) / megabyte,
