--- a/cmd/inference-router/demo.go
+++ b/cmd/inference-router/demo.go
@@ -114,7 +114,7 @@
 func (d *demoRun) startWorkers(ctx context.Context) error {
 	for i := range demoWorkers + 1 {
 		options := fakemodelworker.Options{ID: fmt.Sprintf("worker-%d", i+1), Zone: localfleet.Zone(i), Service: "model",
-			Stage: []string{"prefill", "decode"}[i%2], Address: d.fleet.Worker(i), Slots: demoSlots, Control: d.fleet.Control(),
+			Stage: []string{"prefill", "decode"}[i%2], Address: d.fleet.WorkerAddress(i), Slots: demoSlots, Control: d.fleet.ControlAddresses(),
 			Heartbeat: time.Second, PrefillRate: 40, TokenTime: 6 * time.Millisecond, PlainTime: 30 * time.Millisecond, Handles: &d.handles}
 		if i == demoWorkers {
 			options.Service, options.Stage = "store", ""
@@ -130,7 +130,7 @@
 
 // configure sends the configuration to one control plane server and reports whether it was accepted.
 func (d *demoRun) configure(ctx context.Context) bool {
-	control := d.fleet.Control()[0]
+	control := d.fleet.ControlAddresses()[0]
 	response, failure := d.pool.RoundTrip(ctx, &upstream.Request{Address: control, Method: "POST", Target: "/-/Config.Replace",
 		Header: http1.Header{{Name: "Host", Value: control}, {Name: "X-Base-Version", Value: "0"},
 			{Name: "Content-Type", Value: "application/json"}}, Body: []byte(demoConfiguration)})
@@ -139,7 +139,7 @@
 
 // proxyReady reports whether a proxy says that it is ready.
 func (d *demoRun) proxyReady(ctx context.Context, edge int) bool {
-	address := d.fleet.Readiness(edge)
+	address := d.fleet.ReadinessAddress(edge)
 	response, failure := d.pool.RoundTrip(ctx, &upstream.Request{Address: address, Method: "GET", Target: "/-/ready",
 		Header: http1.Header{{Name: "Host", Value: address}}})
 	return failure == nil && response.Status == 200
@@ -171,7 +171,7 @@
 
 // sendRequest sends one request and returns its status and the number of events received; status 0 stands for a failed response.
 func (d *demoRun) sendRequest(ctx context.Context, edge, kind int, id string) (status, events int) {
-	call := &upstream.Request{Address: d.fleet.Front(edge), Method: "POST", Target: []string{"/chat/talk", "/files/one"}[kind],
+	call := &upstream.Request{Address: d.fleet.ProxyAddress(edge), Method: "POST", Target: []string{"/chat/talk", "/files/one"}[kind],
 		Header: http1.Header{{Name: "Host", Value: "demo.example"}, {Name: "X-Request-Id", Value: fmt.Sprintf("%s-%d-%d", id, edge, kind)},
 			{Name: "X-Request-Deadline", Value: fmt.Sprint(demoDeadline)}}, Body: []byte("{}"), StreamEvents: true}
 	if kind == 0 {
--- a/cmd/inference-router/measure.go
+++ b/cmd/inference-router/measure.go
@@ -58,7 +58,7 @@
 	defer os.RemoveAll(plan.Directory)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	result, err := scalerun.Play(ctx, plan)
+	result, err := scalerun.Run(ctx, plan)
 	result.Command, result.Build = c.commandLine(), buildRevision()
 	result.WriteText(stdout)
 	if err != nil {
--- a/cmd/inference-router/measure_traffic.go
+++ b/cmd/inference-router/measure_traffic.go
@@ -49,13 +49,13 @@
 	defer stop()
 	result := scalereport.TrafficResult{Build: buildRevision(), Target: target[0], Machine: fmt.Sprintf("%d processors", runtime.NumCPU()), Load: scalerun.LoadAverage(),
 		Command: fmt.Sprintf("inference-router measure traffic --rates %s --workers %d --token-time %v", c.Rates, c.Workers, c.TokenTime)}
-	result.Steps, err = scalerun.PlayTraffic(ctx, scalerun.TrafficPlan{Binary: binary, Directory: directory, Rates: rates, Workers: c.Workers,
+	result.Steps, err = scalerun.RunTraffic(ctx, scalerun.TrafficPlan{Binary: binary, Directory: directory, Rates: rates, Workers: c.Workers,
 		TokenTime: c.TokenTime, Window: c.Window, Windows: c.Windows, Limit: c.Limit, Progress: stdout})
 	if err != nil {
 		fmt.Fprintln(stderr, "measure traffic:", err)
 		return exitFault
 	}
-	if result.Conclude() {
+	if result.FitProcessor() {
 		result.WriteText(stdout)
 	}
 	if c.JSON != "" {
--- a/cmd/ospreybend/measure_fleet.go
+++ b/cmd/ospreybend/measure_fleet.go
@@ -51,9 +51,9 @@
 func dayKinds() []dayKind {
 	return []dayKind{
 		{"calm", func(d nodesim.Day) nodesim.Day { return d }},
-		{"released", nodesim.Day.Released},
-		{"returned", nodesim.Day.Returned},
-		{"killed", nodesim.Day.Killed},
+		{"released", nodesim.Day.WithRelease},
+		{"returned", nodesim.Day.WithWorkerLoss},
+		{"killed", nodesim.Day.WithNodeKill},
 	}
 }
 
@@ -79,10 +79,10 @@
 	var group errgroup.Group
 	group.SetLimit(runtime.NumCPU())
 	for i := range c.Days {
-		days[i] = kind.of(nodesim.Workshop(c.Nodes, c.Workers, c.First+uint64(i)))
+		days[i] = kind.of(nodesim.ReferenceDay(c.Nodes, c.Workers, c.First+uint64(i)))
 		days[i].Load = c.Load
 		group.Go(func() (err error) {
-			results[i], err = nodesim.Play(days[i])
+			results[i], err = nodesim.Simulate(days[i])
 			return err
 		})
 	}
@@ -97,7 +97,7 @@
 	row := daysRow{Kind: kind}
 	sum, squares, count := 0.0, 0.0, float64(len(days))
 	for i, result := range results {
-		g := result.G(days[i])
+		g := result.Score(days[i])
 		sum, squares = sum+g, squares+g*g
 		row.add(result, count)
 	}
--- a/internal/testkit/localfleet/fleet.go
+++ b/internal/testkit/localfleet/fleet.go
@@ -83,8 +83,8 @@
 	return fmt.Sprintf("127.%d.%d.%d", f.addresses.network(), network, host+1)
 }
 
-// Control returns the addresses of the servers' control API.
-func (f *Fleet) Control() []string {
+// ControlAddresses returns the addresses of the servers' control API.
+func (f *Fleet) ControlAddresses() []string {
 	addresses := make([]string, f.layout.Servers)
 	for i := range addresses {
 		addresses[i] = fmt.Sprintf("%s:%d", f.address(networkServers, i), portControl)
@@ -92,18 +92,18 @@
 	return addresses
 }
 
-// Front returns the address at which the i-th edge's proxy accepts clients.
-func (f *Fleet) Front(i int) string {
+// ProxyAddress returns the address at which the i-th edge's proxy accepts clients.
+func (f *Fleet) ProxyAddress(i int) string {
 	return fmt.Sprintf("%s:%d", f.address(networkEdges, i), portFront)
 }
 
-// Readiness returns the address of the i-th edge's readiness check.
-func (f *Fleet) Readiness(i int) string {
+// ReadinessAddress returns the address of the i-th edge's readiness check.
+func (f *Fleet) ReadinessAddress(i int) string {
 	return fmt.Sprintf("%s:%d", f.address(networkEdges, i), portReadiness)
 }
 
-// Worker returns the address of the i-th fake worker.
-func (f *Fleet) Worker(i int) string {
+// WorkerAddress returns the address of the i-th fake worker.
+func (f *Fleet) WorkerAddress(i int) string {
 	return fmt.Sprintf("%s:%d", f.address(networkWorkers+i/hostsPerNetwork, i%hostsPerNetwork), PortWorker)
 }
 
@@ -118,8 +118,8 @@
 // PortRange returns the port range of the servers and of the first edge.
 func (f *Fleet) PortRange() [2]int { return f.addresses.ports(0) }
 
-// Peers returns the addresses at which servers accept connections from other servers and from agents.
-func (f *Fleet) Peers() []string {
+// PeerAddresses returns the addresses at which servers accept connections from other servers and from agents.
+func (f *Fleet) PeerAddresses() []string {
 	addresses := make([]string, f.layout.Servers)
 	for i := range addresses {
 		addresses[i] = fmt.Sprintf("%s:%d", f.address(networkServers, i), f.addresses.ports(0)[0])
@@ -159,7 +159,7 @@
 // StartProxy starts the proxy of the i-th edge.
 func (f *Fleet) StartProxy(i int) (*Process, error) {
 	settings := f.baseSettings(networkEdges, i, "proxy", false)
-	settings.Listen.Front, settings.Listen.Readiness = f.Front(i), f.Readiness(i)
+	settings.Listen.Front, settings.Listen.Readiness = f.ProxyAddress(i), f.ReadinessAddress(i)
 	settings.PortRange = f.addresses.ports(i)
 	return f.start(settings)
 }
@@ -195,7 +195,7 @@
 		settings.Zones[Zone(zone)] = "local"
 	}
 	settings.PortRange = f.addresses.ports(0)
-	settings.Seeds = f.Control()[:min(maxSeeds, f.layout.Servers)]
+	settings.Seeds = f.ControlAddresses()[:min(maxSeeds, f.layout.Servers)]
 	settings.Bootstrap = bootstrap
 	if f.layout.MemoryMb > 0 {
 		settings.Limits.MemoryMb = f.layout.MemoryMb
--- a/internal/testkit/localfleet/fleet_test.go
+++ b/internal/testkit/localfleet/fleet_test.go
@@ -62,7 +62,7 @@
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
-	operator := localfleet.NewOperator(fleet.Control())
+	operator := localfleet.NewOperator(fleet.ControlAddresses())
 	t.Cleanup(func() {
 		cancel()
 		operator.Close()
@@ -87,7 +87,7 @@
 func (r *fleetTest) worker(i int, service string, tokenTime time.Duration) *fakemodelworker.Worker {
 	r.Helper()
 	options := fakemodelworker.Options{ID: fmt.Sprintf("worker-%d", i), Zone: localfleet.Zone(i), Service: service,
-		Address: r.fleet.Worker(i), Slots: 8, Control: r.fleet.Control(), Heartbeat: 300 * time.Millisecond,
+		Address: r.fleet.WorkerAddress(i), Slots: 8, Control: r.fleet.ControlAddresses(), Heartbeat: 300 * time.Millisecond,
 		TokenTime: tokenTime, Handles: new(fakemodelworker.Handles)}
 	if service == "model" {
 		options.Stage = "decode"
@@ -151,7 +151,7 @@
 
 // request sends one request through the proxy of an edge.
 func (r *fleetTest) request(edge int, path string) (*http.Response, error) {
-	request, err := http.NewRequestWithContext(r.ctx, "POST", "http://"+r.fleet.Front(edge)+path, strings.NewReader("{}"))
+	request, err := http.NewRequestWithContext(r.ctx, "POST", "http://"+r.fleet.ProxyAddress(edge)+path, strings.NewReader("{}"))
 	if err != nil {
 		return nil, err
 	}
@@ -193,7 +193,7 @@
 }
 
 func (r *fleetTest) status(server int) (status serverStatus, ok bool) {
-	response, err := r.operator.Ask(r.ctx, r.fleet.Control()[server], "GET", "/-/status", 0, nil)
+	response, err := r.operator.Ask(r.ctx, r.fleet.ControlAddresses()[server], "GET", "/-/status", 0, nil)
 	if err != nil || response.Status != http.StatusOK {
 		return status, false
 	}
--- a/internal/testkit/localfleet/mixed_versions_test.go
+++ b/internal/testkit/localfleet/mixed_versions_test.go
@@ -56,7 +56,7 @@
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), mixedVersionsTimeout)
-	operator := localfleet.NewOperator(fleet.Control())
+	operator := localfleet.NewOperator(fleet.ControlAddresses())
 	t.Cleanup(func() {
 		cancel()
 		operator.Close()
@@ -122,7 +122,7 @@
 	m.update(uint64(m.generation), addRoute(m.generation+1, route))
 	m.generation++
 	var first []byte
-	for i, address := range m.fleet.Control() {
+	for i, address := range m.fleet.ControlAddresses() {
 		response, err := m.operator.Ask(m.ctx, address, "GET", "/-/Config.Read", 0, nil)
 		if err != nil || response.Status != http.StatusOK {
 			m.Fatalf("%s: Config.Read from server %d: %v", step, i, err)
--- a/internal/testkit/localfleet/relay.go
+++ b/internal/testkit/localfleet/relay.go
@@ -31,7 +31,7 @@
 	if port == f.addresses.ports(0)[0] || f.hasRelays(port) {
 		return nil
 	}
-	for server, target := range f.Peers() {
+	for server, target := range f.PeerAddresses() {
 		opened, err := newRelay(fmt.Sprintf("%s:%d", f.address(networkServers, server), port), target, Link{})
 		if err != nil {
 			return err
@@ -50,13 +50,13 @@
 	return false
 }
 
-// SlowPeers opens relays to the servers over the given link and returns a map from each server's address to its
+// RelayPeers opens relays to the servers over the given link and returns a map from each server's address to its
 // relay's address.
-func (f *Fleet) SlowPeers(link Link) (map[string]string, error) {
+func (f *Fleet) RelayPeers(link Link) (map[string]string, error) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	addresses := map[string]string{}
-	for server, target := range f.Peers() {
+	for server, target := range f.PeerAddresses() {
 		opened, err := newRelay(f.address(networkServers, server)+":0", target, link)
 		if err != nil {
 			return nil, err
--- a/internal/testkit/nodesim/node.go
+++ b/internal/testkit/nodesim/node.go
@@ -55,7 +55,7 @@
 		op := n.operations[id]
 		for _, s := range op.attempts {
 			if !s.done {
-				n.world.after(n.world.day.OneWay.seconds(n.world.rng), func() { s.worker.cancel(s) })
+				n.world.after(n.world.day.NetworkDelay.seconds(n.world.rng), func() { s.worker.cancel(s) })
 			}
 		}
 		n.world.finish(op, lost, 0)
@@ -88,7 +88,7 @@
 			n.answer(a.Request, failed, 0)
 		case balance.Cancel:
 			s := n.operations[a.Request].attempts[a.Attempt]
-			w.after(w.day.OneWay.seconds(w.rng), func() { s.worker.cancel(s) })
+			w.after(w.day.NetworkDelay.seconds(w.rng), func() { s.worker.cancel(s) })
 			incarnation := n.incarnation
 			w.after(0, func() {
 				if !n.down && n.incarnation == incarnation && !s.done {
@@ -119,7 +119,7 @@
 	}
 	n.connected[id] = true
 	n.world.result.Handshakes++
-	return 4 * n.world.day.OneWay.seconds(n.world.rng)
+	return 4 * n.world.day.NetworkDelay.seconds(n.world.rng)
 }
 
 func (n *node) send(a balance.Send) {
@@ -127,14 +127,14 @@
 	s := &attempt{operation: op, number: len(op.attempts), node: n, incarnation: n.incarnation, worker: k, sentAt: w.now,
 		remainingWork: op.work * lognormal(w.rng, w.day.AttemptNoise)}
 	op.attempts = append(op.attempts, s)
-	w.after(n.connectDelay(a.Worker)+w.day.OneWay.seconds(w.rng), func() { k.arrive(s) })
+	w.after(n.connectDelay(a.Worker)+w.day.NetworkDelay.seconds(w.rng), func() { k.arrive(s) })
 }
 
 func (n *node) probe(id balance.WorkerID) {
 	w, k := n.world, n.world.byID[id]
 	w.result.Probes++
 	incarnation, began := n.incarnation, w.now
-	w.after(n.connectDelay(id)+w.day.OneWay.seconds(w.rng), func() {
+	w.after(n.connectDelay(id)+w.day.NetworkDelay.seconds(w.rng), func() {
 		if k.unreachable {
 			return
 		}
--- a/internal/testkit/nodesim/scenarios.go
+++ b/internal/testkit/nodesim/scenarios.go
@@ -6,9 +6,9 @@
 	"ospreybend/balance"
 )
 
-// Workshop returns a day without faults at a site with two kinds of prep workers, which have four cores, a FIFO queue
+// ReferenceDay returns a day without faults at a site with two kinds of prep workers, which have four cores, a FIFO queue
 // and cold starts, and three classes of operations, one of which is not idempotent.
-func Workshop(nodes, workers int, seed uint64) Day {
+func ReferenceDay(nodes, workers int, seed uint64) Day {
 	class := func(latencyTarget, giveUp int, worth, stretch float64, effect balance.Effect) balance.Class {
 		return balance.Class{LatencyTarget: time.Duration(latencyTarget) * time.Millisecond, Timeout: time.Duration(giveUp) * time.Second,
 			Value: worth, TargetStretch: stretch, Effect: effect, Kind: -1}
@@ -17,7 +17,7 @@
 		return Kind{Share: share, Cores: 4, Speed: speed, SlotsPerCore: Range{1, 1.3}, QueuePerCore: queue, WarmUpFloor: from,
 			WarmUpTime: Range{12, 23}, Errors: 0.001}
 	}
-	return Day{Seed: seed, Nodes: nodes, Workers: workers, Length: 23, Load: 0.62, Uneven: 0.6, Heaviest: 0.5, WarmUpWork: 0.6,
+	return Day{Seed: seed, Nodes: nodes, Workers: workers, Length: 23, Load: 0.62, TrafficSpread: 0.6, MaxWork: 0.5, WarmUpWork: 0.6,
 		Goal: Goal{Day: 0.75, WorstWindow: 0.05, WorstClass: 0.2}, HandshakePrice: 0.32,
 		Settings: balance.Settings{Resolution: 2 * time.Millisecond, ValueByWork: true, ReportsStart: true,
 			Classes: []balance.Class{class(400, 5, 5, 1.75, balance.Idempotent), class(1000, 20, 2, 2.5, balance.Idempotent),
@@ -35,28 +35,28 @@
 		Classes: []Class{{0.43, 0.46, 2, []float64{1}}, {0.37, 1.9, 2.2, []float64{0.6, 0.25, 0.15}},
 			{0.2, 2.8, 2, []float64{0.6, 0.25, 0.15}}},
 		AttemptNoise: 0.3, HintNoise: 0.5, ReportEvery: Range{0.33, 1.5}, ReportDelay: Range{0.089, 0.49}, ReportNoise: 0.03,
-		OneWay: Range{0.0001, 0.0004}, ListLate: Range{1, 3}, PeerDelay: Range{0.0013, 0.027}, PeerLoss: 0.01, Retries: 2,
+		NetworkDelay: Range{0.0001, 0.0004}, ListDelay: Range{1, 3}, PeerDelay: Range{0.0013, 0.027}, PeerLoss: 0.01, Retries: 2,
 		Backoff: Range{0.012, 0.097}}
 }
 
-// Released returns the day with a release that replaces 60% of the prep workers within 7 s, and with one in eight slow.
-func (d Day) Released() Day {
-	d.Replace = Replace{At: 7, Within: 7, Share: 0.6, Steps: 4, Drain: Range{3.3, 5.8}}
+// WithRelease returns the day with a release that replaces 60% of the prep workers within 7 s, and with one in eight slow.
+func (d Day) WithRelease() Day {
+	d.Release = Release{At: 7, Within: 7, Share: 0.6, Steps: 4, Drain: Range{3.3, 5.8}}
 	d.SlowShare, d.SlowFactor = 0.125, 5
 	return d
 }
 
-// Returned returns the day with 30% of the prep workers unreachable for 5 s, after which they have cold caches, and
+// WithWorkerLoss returns the day with 30% of the prep workers unreachable for 5 s, after which they have cold caches, and
 // with one in eight slow.
-func (d Day) Returned() Day {
-	d.Loss = Loss{At: 7, For: 5, Share: 0.3}
+func (d Day) WithWorkerLoss() Day {
+	d.WorkerLoss = WorkerLoss{At: 7, For: 5, Share: 0.3}
 	d.SlowShare, d.SlowFactor = 0.125, 5
 	return d
 }
 
-// Killed returns the day with 70% of the nodes killed at once 4 s before a release.
-func (d Day) Killed() Day {
-	d.Kill = Kill{At: 10, Down: 2, Share: 0.7}
-	d.Replace = Replace{At: 14, Within: 12, Share: 0.6, Steps: 7, Drain: Range{3.3, 5.8}}
+// WithNodeKill returns the day with 70% of the nodes killed at once 4 s before a release.
+func (d Day) WithNodeKill() Day {
+	d.NodeKill = NodeKill{At: 10, Down: 2, Share: 0.7}
+	d.Release = Release{At: 14, Within: 12, Share: 0.6, Steps: 7, Drain: Range{3.3, 5.8}}
 	return d
 }
--- a/internal/testkit/nodesim/world.go
+++ b/internal/testkit/nodesim/world.go
@@ -73,8 +73,8 @@
 	FailedValue                float64
 }
 
-// Play simulates a day.
-func Play(day Day) (Result, error) {
+// Simulate simulates a day.
+func Simulate(day Day) (Result, error) {
 	if err := day.check(); err != nil {
 		return Result{}, err
 	}
@@ -83,7 +83,7 @@
 		w.addWorker(0)
 	}
 	for i := range day.Nodes {
-		n := &node{world: w, number: i, weight: lognormal(w.rng, day.Uneven)}
+		n := &node{world: w, number: i, weight: lognormal(w.rng, day.TrafficSpread)}
 		w.nodes = append(w.nodes, n)
 		if err := n.start(); err != nil {
 			return Result{}, err
@@ -120,7 +120,7 @@
 
 // deliver calls f after the network delay, unless the node is down or no longer has the given incarnation.
 func (w *world) deliver(n *node, incarnation int, f func()) {
-	w.after(w.day.OneWay.seconds(w.rng), func() {
+	w.after(w.day.NetworkDelay.seconds(w.rng), func() {
 		if !n.down && n.incarnation == incarnation {
 			f()
 		}
@@ -164,7 +164,7 @@
 	class := drawIndex(w.traffic, len(d.Classes), func(i int) float64 { return d.Classes[i].Share })
 	c, giveUp := d.Classes[class], d.Settings.Classes[class].Timeout
 	slots := float64(int(1) << drawIndex(w.traffic, len(c.Slots), func(i int) float64 { return c.Slots[i] }))
-	op := &operation{class: class, slots: slots, work: min(c.Work*lognormal(w.traffic, c.CV), d.Heaviest*giveUp.Seconds()),
+	op := &operation{class: class, slots: slots, work: min(c.Work*lognormal(w.traffic, c.CV), d.MaxWork*giveUp.Seconds()),
 		arrived: w.now, deadline: w.now + giveUp}
 	op.first = op
 	if d.HintNoise >= 0 {
@@ -272,9 +272,9 @@
 	return float64(r.InTime + r.Late + r.Rejected + r.Failed + r.Lost)
 }
 
-// G returns the day's score: the weighted fractions of value served over the day, in its worst 10 s and for its worst
+// Score returns the day's score: the weighted fractions of value served over the day, in its worst 10 s and for its worst
 // class, less the prices of handshakes, probes and messages per request.
-func (r Result) G(day Day) float64 {
+func (r Result) Score(day Day) float64 {
 	if r.Value == 0 {
 		return 0
 	}
@@ -311,19 +311,19 @@
 	for _, k := range some(d.SlowShare) {
 		k.slowdown = d.SlowFactor
 	}
-	if r := d.Replace; r.Share > 0 {
+	if r := d.Release; r.Share > 0 {
 		for i, k := range some(r.Share) {
 			step := r.Within * float64(i*r.Steps/int(r.Share*float64(d.Workers)+1)) / float64(r.Steps)
 			at(r.At+step, func() { w.replace(k, r.Drain.draw(w.rng)) })
 		}
 	}
-	if l := d.Loss; l.Share > 0 {
+	if l := d.WorkerLoss; l.Share > 0 {
 		for _, k := range some(l.Share) {
 			at(l.At, k.disconnect)
 			at(l.At+l.For, func() { k.restart(); w.announce(k) })
 		}
 	}
-	if x := d.Kill; x.Share > 0 {
+	if x := d.NodeKill; x.Share > 0 {
 		for i, n := range w.nodes {
 			if float64(i) < x.Share*float64(len(w.nodes)) {
 				at(x.At, n.kill)
@@ -351,7 +351,7 @@
 // announce reports a worker's state to all nodes with the delay of the endpoint list.
 func (w *world) announce(k *worker) {
 	l := k.listing()
-	late := w.day.ListLate.draw(w.rng)
+	late := w.day.ListDelay.draw(w.rng)
 	for _, n := range w.nodes {
 		incarnation := n.incarnation
 		w.after(seconds(late*(1+0.05*w.rng.Float64())), func() {
--- a/internal/testkit/scalereport/bounds.go
+++ b/internal/testkit/scalereport/bounds.go
@@ -32,8 +32,8 @@
 	memoryPerRoute       = 16 << 10 // bytes in each server, agent and proxy process
 )
 
-// NeedOf estimates the resources of a fleet.
-func NeedOf(size Size, servers, edges, routes int) Need {
+// EstimateNeed estimates the resources of a fleet.
+func EstimateNeed(size Size, servers, edges, routes int) Need {
 	processes := servers + 2*edges
 	return Need{
 		Memory: memoryBase + int64(size.Nodes+size.Workers)*memoryPerHollow +
@@ -56,8 +56,8 @@
 	return nil
 }
 
-// BoundsOf returns the bounds for a machine with the given memory in bytes and limit of file descriptors.
-func BoundsOf(memory int64, descriptors int) Bounds {
+// NewBounds returns the bounds for a machine with the given memory in bytes and limit of file descriptors.
+func NewBounds(memory int64, descriptors int) Bounds {
 	return Bounds{Memory: memory / 2, Descriptors: descriptors, Processes: maxProcesses}
 }
 
--- a/internal/testkit/scalereport/plot.go
+++ b/internal/testkit/scalereport/plot.go
@@ -76,10 +76,10 @@
 			}
 		}
 	}
-	panels = append(panels, r.timesPanel("change in force at agents, ms", func(s Step) Percentiles { return s.InForce }),
-		r.timesPanel("all agents restarted: whole again, ms", func(s Step) Percentiles { return s.Known }),
-		r.timesPanel("a keeper killed: agents current elsewhere, ms", func(s Step) Percentiles { return s.Moved }),
-		r.timesPanel("all killed: whole again, ms", func(s Step) Percentiles { return s.Blackout }))
+	panels = append(panels, r.timesPanel("change in force at agents, ms", func(s Step) Percentiles { return s.ChangeAtAgents }),
+		r.timesPanel("all agents restarted: whole again, ms", func(s Step) Percentiles { return s.AgentRestart }),
+		r.timesPanel("a keeper killed: agents current elsewhere, ms", func(s Step) Percentiles { return s.Failover }),
+		r.timesPanel("all killed: whole again, ms", func(s Step) Percentiles { return s.FullRestart }))
 	for i := range panels {
 		panels[i].width, panels[i].target = float64(r.Target.Nodes), r.Target
 		panels[i].setAxes()
--- a/internal/testkit/scalereport/process.go
+++ b/internal/testkit/scalereport/process.go
@@ -50,9 +50,9 @@
 	return time.Duration(user+system) * time.Second / ticksPerSecond, nil
 }
 
-// Named parses "NAME: NUMBER [kB]" lines as in /proc/PID/status and /proc/PID/io. Numbers in kB are returned in bytes;
+// ParseNamedNumbers parses "NAME: NUMBER [kB]" lines as in /proc/PID/status and /proc/PID/io. Numbers in kB are returned in bytes;
 // lines without a number are skipped.
-func Named(text string) map[string]int64 {
+func ParseNamedNumbers(text string) map[string]int64 {
 	values := map[string]int64{}
 	for line := range strings.Lines(text) {
 		name, rest, found := strings.Cut(line, ":")
@@ -72,8 +72,8 @@
 	return values
 }
 
-// Use is the resource usage of a process over an interval.
-type Use struct {
+// Usage is the resource usage of a process over an interval.
+type Usage struct {
 	Processor float64 `json:"processorPercent"` // CPU time in percent of one core
 	MemoryMB  float64 `json:"memoryMB"`         // resident memory at the end
 	PeakMB    float64 `json:"peakMB"`           // highest resident memory since the process started
@@ -90,10 +90,10 @@
 	thousand = 1e3
 )
 
-// UseBetween returns the usage between two readings of the counters, taken span apart.
-func UseBetween(before, after Counters, span time.Duration) Use {
+// UsageBetween returns the usage between two readings of the counters, taken span apart.
+func UsageBetween(before, after Counters, span time.Duration) Usage {
 	seconds := span.Seconds()
-	return Use{
+	return Usage{
 		Processor: percent * (after.Processor - before.Processor).Seconds() / seconds,
 		MemoryMB:  float64(after.Resident) / megabyte,
 		PeakMB:    float64(after.Peak) / megabyte,
--- a/internal/testkit/scalereport/result.go
+++ b/internal/testkit/scalereport/result.go
@@ -8,21 +8,21 @@
 
 // Phases of a step.
 const (
-	PhaseRest    = "rest"    // only heartbeats, status messages and monitoring
+	PhaseIdle    = "rest"    // only heartbeats, status messages and monitoring
 	PhaseRestart = "restart" // all hollow agents restart at once without state
 	PhaseChange  = "change"  // configuration changes of one route each
 	PhaseLoss    = "loss"    // the leader of the configuration shard is killed
 
-	PhaseBlackout = "blackout" // all processes are killed and restarted at once
+	PhaseFullRestart = "blackout" // all processes are killed and restarted at once
 )
 
-// ProcessUse is the resource usage of one process in one window of a phase.
-type ProcessUse struct {
+// ProcessUsage is the resource usage of one process in one window of a phase.
+type ProcessUsage struct {
 	Role   string `json:"role"`
 	Node   string `json:"node"`
 	Phase  string `json:"phase"`
 	Window int    `json:"window"`
-	Use    Use    `json:"use"`
+	Usage  Usage  `json:"use"`
 }
 
 // Hollow holds the measurements of hollow agents and workers, in the idle phase unless noted otherwise. Rates are per
@@ -45,34 +45,34 @@
 
 // Step holds the measurements at one fleet size.
 type Step struct {
-	Size               Size         `json:"size"`
-	Servers            int          `json:"keepers"`
-	Edges              int          `json:"edges"`  // nodes that run as real processes
-	Routes             int          `json:"routes"` // routes in the configuration
-	Processes          []ProcessUse `json:"processes"`
-	Hollow             Hollow       `json:"hollow"`
-	Known              Percentiles  `json:"restartMs"`         // from the restart of all hollow agents until each has all shards
-	InForce            Percentiles  `json:"changeMs"`          // from sending a change until each agent without a far link has it
-	InForceFar         Percentiles  `json:"changeFarMs"`       // the same for agents with a far link
-	AtProxies          Percentiles  `json:"changeAtProxyMs"`   // from sending a change until all real proxies show it in their metrics
-	Acked              Percentiles  `json:"ackMs"`             // from sending a change until its acknowledgement
-	FirstConfiguration float64      `json:"wholeMs"`           // from sending the first configuration until all agents have it
-	Moved              Percentiles  `json:"lossMs"`            // from the kill of a server until each of its agents is current on another
-	AckedAfter         float64      `json:"ackAfterLossMs"`    // from the kill until a change sent right after it is acknowledged
-	AllAfter           float64      `json:"changeAfterLossMs"` // the same until all agents have it
-	CaughtUp           float64      `json:"caughtUpMs"`        // from the restart of the killed server until it is current in all shards
-
-	Blackout        Percentiles `json:"blackoutMs"`            // from the restart of all processes until each agent has all shards
-	BlackoutAcked   float64     `json:"ackAfterBlackoutMs"`    // the same until a change is acknowledged
-	BlackoutProxies float64     `json:"changeAfterBlackoutMs"` // the same until all real proxies have it
-
-	TookS float64 `json:"tookS"`
+	Size                  Size           `json:"size"`
+	Servers               int            `json:"keepers"`
+	Edges                 int            `json:"edges"`  // nodes that run as real processes
+	Routes                int            `json:"routes"` // routes in the configuration
+	Processes             []ProcessUsage `json:"processes"`
+	Hollow                Hollow         `json:"hollow"`
+	AgentRestart          Percentiles    `json:"restartMs"`         // from the restart of all hollow agents until each has all shards
+	ChangeAtAgents        Percentiles    `json:"changeMs"`          // from sending a change until each agent without a far link has it
+	ChangeAtFarAgents     Percentiles    `json:"changeFarMs"`       // the same for agents with a far link
+	ChangeAtProxies       Percentiles    `json:"changeAtProxyMs"`   // from sending a change until all real proxies show it in their metrics
+	ChangeAcknowledged    Percentiles    `json:"ackMs"`             // from sending a change until its acknowledgement
+	FirstConfiguration    float64        `json:"wholeMs"`           // from sending the first configuration until all agents have it
+	Failover              Percentiles    `json:"lossMs"`            // from the kill of a server until each of its agents is current on another
+	AcknowledgedAfterLoss float64        `json:"ackAfterLossMs"`    // from the kill until a change sent right after it is acknowledged
+	AtAgentsAfterLoss     float64        `json:"changeAfterLossMs"` // the same until all agents have it
+	ServerRecovery        float64        `json:"caughtUpMs"`        // from the restart of the killed server until it is current in all shards
+
+	FullRestart              Percentiles `json:"blackoutMs"`            // from the restart of all processes until each agent has all shards
+	AcknowledgedAfterRestart float64     `json:"ackAfterBlackoutMs"`    // the same until a change is acknowledged
+	AtProxiesAfterRestart    float64     `json:"changeAfterBlackoutMs"` // the same until all real proxies have it
+
+	DurationSeconds float64 `json:"tookS"`
 }
 
-// Cut is a size that was skipped.
-type Cut struct {
-	Size Size   `json:"size"`
-	Why  string `json:"why"`
+// SkippedSize is a size that was skipped.
+type SkippedSize struct {
+	Size   Size   `json:"size"`
+	Reason string `json:"why"`
 }
 
 // Trend is the fit of one figure over all steps.
@@ -88,15 +88,15 @@
 
 // Result is the result of a scale run.
 type Result struct {
-	Command string    `json:"command"`
-	Build   string    `json:"build"` // revision of the source code
-	Machine string    `json:"machine"`
-	Load    []float64 `json:"loadAverages"` // of the machine at the start of each step
-	Far     string    `json:"farLinks"`
-	Steps   []Step    `json:"steps"`
-	Cuts    []Cut     `json:"cuts"`
-	Target  Size      `json:"target"`
-	Trends  []Trend   `json:"trends"`
+	Command string        `json:"command"`
+	Build   string        `json:"build"` // revision of the source code
+	Machine string        `json:"machine"`
+	Load    []float64     `json:"loadAverages"` // of the machine at the start of each step
+	FarLink string        `json:"farLinks"`
+	Steps   []Step        `json:"steps"`
+	Skipped []SkippedSize `json:"cuts"`
+	Target  Size          `json:"target"`
+	Trends  []Trend       `json:"trends"`
 }
 
 // WriteJSON writes the result as indented JSON.
@@ -112,22 +112,22 @@
 	role       string
 	phase      string
 	sum        bool // one observation per window, summed over the processes of the role; otherwise one per process
-	of         func(Use) float64
+	of         func(Usage) float64
 }
 
 var figures = []figure{
-	{"all keepers: processor at rest", "% of a core", "controlplane", PhaseRest, true, func(u Use) float64 { return u.Processor }},
-	{"keeper: memory at rest", "MB", "controlplane", PhaseRest, false, func(u Use) float64 { return u.MemoryMB }},
-	{"all keepers: written at rest", "kB/s", "controlplane", PhaseRest, true, func(u Use) float64 { return u.WrittenKB }},
-	{"all keepers: read at rest", "kB/s", "controlplane", PhaseRest, true, func(u Use) float64 { return u.ReadKB }},
-	{"all keepers: writes at rest", "calls/s", "controlplane", PhaseRest, true, func(u Use) float64 { return u.Writes }},
-	{"all keepers: waits at rest", "1/s", "controlplane", PhaseRest, true, func(u Use) float64 { return u.Switches }},
-	{"keeper: peak memory with restarts", "MB", "controlplane", PhaseRestart, false, func(u Use) float64 { return u.PeakMB }},
-	{"agent: processor at rest", "% of a core", "agent", PhaseRest, false, func(u Use) float64 { return u.Processor }},
-	{"agent: memory at rest", "MB", "agent", PhaseRest, false, func(u Use) float64 { return u.MemoryMB }},
-	{"agent: read at rest", "kB/s", "agent", PhaseRest, false, func(u Use) float64 { return u.ReadKB }},
-	{"proxy: processor without requests", "% of a core", "proxy", PhaseRest, false, func(u Use) float64 { return u.Processor }},
-	{"proxy: memory without requests", "MB", "proxy", PhaseRest, false, func(u Use) float64 { return u.MemoryMB }},
+	{"all keepers: processor at rest", "% of a core", "controlplane", PhaseIdle, true, func(u Usage) float64 { return u.Processor }},
+	{"keeper: memory at rest", "MB", "controlplane", PhaseIdle, false, func(u Usage) float64 { return u.MemoryMB }},
+	{"all keepers: written at rest", "kB/s", "controlplane", PhaseIdle, true, func(u Usage) float64 { return u.WrittenKB }},
+	{"all keepers: read at rest", "kB/s", "controlplane", PhaseIdle, true, func(u Usage) float64 { return u.ReadKB }},
+	{"all keepers: writes at rest", "calls/s", "controlplane", PhaseIdle, true, func(u Usage) float64 { return u.Writes }},
+	{"all keepers: waits at rest", "1/s", "controlplane", PhaseIdle, true, func(u Usage) float64 { return u.Switches }},
+	{"keeper: peak memory with restarts", "MB", "controlplane", PhaseRestart, false, func(u Usage) float64 { return u.PeakMB }},
+	{"agent: processor at rest", "% of a core", "agent", PhaseIdle, false, func(u Usage) float64 { return u.Processor }},
+	{"agent: memory at rest", "MB", "agent", PhaseIdle, false, func(u Usage) float64 { return u.MemoryMB }},
+	{"agent: read at rest", "kB/s", "agent", PhaseIdle, false, func(u Usage) float64 { return u.ReadKB }},
+	{"proxy: processor without requests", "% of a core", "proxy", PhaseIdle, false, func(u Usage) float64 { return u.Processor }},
+	{"proxy: memory without requests", "MB", "proxy", PhaseIdle, false, func(u Usage) float64 { return u.MemoryMB }},
 }
 
 // Trends fits all figures and extrapolates them to the target size.
@@ -135,7 +135,7 @@
 	var trends []Trend
 	for _, one := range figures {
 		points := one.observations(steps)
-		fit, ok := FitTo(points)
+		fit, ok := FitObservations(points)
 		if !ok {
 			continue
 		}
@@ -169,10 +169,10 @@
 				continue
 			}
 			if !f.sum {
-				found = append(found, Observation{Size: step.Size, Value: f.of(process.Use)})
+				found = append(found, Observation{Size: step.Size, Value: f.of(process.Usage)})
 				continue
 			}
-			sums[process.Window] += f.of(process.Use)
+			sums[process.Window] += f.of(process.Usage)
 		}
 		for window := range len(sums) {
 			found = append(found, Observation{Size: step.Size, Value: sums[window]})
@@ -193,7 +193,7 @@
 		fmt.Fprintf(out, "%-36s %10.2f %10.4f %10s %10.2f   %.1f ± %.1f %s\n", trend.Name, trend.Fit.Base,
 			trend.Fit.PerNode, worker, trend.Fit.Residual, trend.Target, trend.Interval, trend.Unit)
 	}
-	for _, cut := range r.Cuts {
-		fmt.Fprintf(out, "skipped: %d nodes, %d workers: %s\n", cut.Size.Nodes, cut.Size.Workers, cut.Why)
+	for _, cut := range r.Skipped {
+		fmt.Fprintf(out, "skipped: %d nodes, %d workers: %s\n", cut.Size.Nodes, cut.Size.Workers, cut.Reason)
 	}
 }
--- a/internal/testkit/scalereport/scale_test.go
+++ b/internal/testkit/scalereport/scale_test.go
@@ -14,43 +14,43 @@
 
 func approxEqual(a, b float64) bool { return math.Abs(a-b) < 1e-6 }
 
-func TestFitTo_nodesAndWorkers(t *testing.T) {
+func TestFitObservations_nodesAndWorkers(t *testing.T) {
 	var observations []Observation
 	for _, size := range []Size{{30, 60}, {100, 200}, {360, 600}, {30, 600}, {360, 60}} {
 		observations = append(observations, Observation{size, 2 + 0.5*float64(size.Nodes) + 0.1*float64(size.Workers)})
 	}
-	fit, ok := FitTo(observations)
+	fit, ok := FitObservations(observations)
 	if !ok || fit.Together || !approxEqual(fit.Base, 2) || !approxEqual(fit.PerNode, 0.5) || !approxEqual(fit.PerWorker, 0.1) {
-		t.Fatalf("FitTo: got %+v, %v, want 2 + 0.5 per node + 0.1 per worker", fit, ok)
+		t.Fatalf("FitObservations: got %+v, %v, want 2 + 0.5 per node + 0.1 per worker", fit, ok)
 	}
 	if value, half := fit.At(Size{1000, 2000}); !approxEqual(value, 702) || half > 1e-6 {
 		t.Errorf("At 1000 nodes, 2000 workers: got %v ± %v, want 702 ± 0", value, half)
 	}
 }
 
-func TestFitTo_proportionalSizes(t *testing.T) {
-	fit, ok := FitTo([]Observation{{Size{30, 60}, 31}, {Size{100, 200}, 101}, {Size{360, 600}, 361}})
+func TestFitObservations_proportionalSizes(t *testing.T) {
+	fit, ok := FitObservations([]Observation{{Size{30, 60}, 31}, {Size{100, 200}, 101}, {Size{360, 600}, 361}})
 	if !ok || !fit.Together || !approxEqual(fit.PerNode, 1) || !approxEqual(fit.Base, 1) || fit.PerWorker != 0 {
-		t.Errorf("FitTo of proportional sizes: got %+v, %v, want 1 + 1 per node, Together", fit, ok)
+		t.Errorf("FitObservations of proportional sizes: got %+v, %v, want 1 + 1 per node, Together", fit, ok)
 	}
-	if _, ok := FitTo([]Observation{{Size{30, 60}, 1}, {Size{30, 60}, 2}}); ok {
-		t.Error("FitTo of two observations at the same size: got ok, want false")
+	if _, ok := FitObservations([]Observation{{Size{30, 60}, 1}, {Size{30, 60}, 2}}); ok {
+		t.Error("FitObservations of two observations at the same size: got ok, want false")
 	}
-	if _, ok := FitTo(nil); ok {
-		t.Error("FitTo without observations: got ok, want false")
+	if _, ok := FitObservations(nil); ok {
+		t.Error("FitObservations without observations: got ok, want false")
 	}
 }
 
 // The prediction interval must match a computation by hand: y = 1, 3, 2, 5 at x = 1, 2, 3, 4.
 func TestFit_At_predictionInterval(t *testing.T) {
-	fit, _ := FitTo([]Observation{{Size{1, 1}, 1}, {Size{2, 2}, 3}, {Size{3, 3}, 2}, {Size{4, 4}, 5}})
+	fit, _ := FitObservations([]Observation{{Size{1, 1}, 1}, {Size{2, 2}, 3}, {Size{3, 3}, 2}, {Size{4, 4}, 5}})
 	value, half := fit.At(Size{5, 5})
 	// Slope 1.1, intercept 0, s^2 = 2.7/2; at 5: s * sqrt(1 + 1/4 + 2.5^2/5) * t(2).
 	want := 4.30 * math.Sqrt(1.35) * math.Sqrt(1+0.25+1.25)
 	if !approxEqual(value, 5.5) || math.Abs(half-want) > 1e-6 {
 		t.Errorf("At size 5: got %v ± %v, want 5.5 ± %v", value, half, want)
 	}
-	two, _ := FitTo([]Observation{{Size{1, 1}, 1}, {Size{2, 2}, 3}})
+	two, _ := FitObservations([]Observation{{Size{1, 1}, 1}, {Size{2, 2}, 3}})
 	if _, half := two.At(Size{5, 5}); !math.IsNaN(half) {
 		t.Errorf("half width of a fit to two points: got %v, want NaN", half)
 	}
@@ -85,24 +85,24 @@
 	}
 }
 
-func TestNamed_kilobytes(t *testing.T) {
-	got := Named("Name:\tospreyfleet\nVmRSS:\t  20 kB\nvoluntary_ctxt_switches:\t7\nrchar: 12\n\n")
+func TestParseNamedNumbers_kilobytes(t *testing.T) {
+	got := ParseNamedNumbers("Name:\tospreyfleet\nVmRSS:\t  20 kB\nvoluntary_ctxt_switches:\t7\nrchar: 12\n\n")
 	if len(got) != 3 || got["VmRSS"] != 20480 || got["voluntary_ctxt_switches"] != 7 || got["rchar"] != 12 {
-		t.Errorf("Named: got %v, want VmRSS 20480, voluntary_ctxt_switches 7, rchar 12", got)
+		t.Errorf("ParseNamedNumbers: got %v, want VmRSS 20480, voluntary_ctxt_switches 7, rchar 12", got)
 	}
 }
 
-func TestUseBetween_perSecond(t *testing.T) {
+func TestUsageBetween_perSecond(t *testing.T) {
 	before := Counters{Processor: time.Second, Read: 1000, Written: 2000, Reads: 1, Writes: 2, Switches: 3}
 	after := Counters{Processor: 2 * time.Second, Resident: 3e6, Peak: 4e6, Read: 11000, Written: 4000, Reads: 11, Writes: 22, Switches: 13}
-	want := Use{Processor: 10, MemoryMB: 3, PeakMB: 4, ReadKB: 1, WrittenKB: 0.2, Reads: 1, Writes: 2, Switches: 1}
-	if got := UseBetween(before, after, 10*time.Second); got != want {
-		t.Errorf("UseBetween: got %+v, want %+v", got, want)
+	want := Usage{Processor: 10, MemoryMB: 3, PeakMB: 4, ReadKB: 1, WrittenKB: 0.2, Reads: 1, Writes: 2, Switches: 1}
+	if got := UsageBetween(before, after, 10*time.Second); got != want {
+		t.Errorf("UsageBetween: got %+v, want %+v", got, want)
 	}
 }
 
 func TestBounds_Check(t *testing.T) {
-	need := NeedOf(Size{360, 600}, 3, 1, 3700)
+	need := EstimateNeed(Size{360, 600}, 3, 1, 3700)
 	enough := Bounds(need)
 	if err := enough.Check(need); err != nil {
 		t.Errorf("Check with bounds equal to the need: %v", err)
@@ -116,8 +116,8 @@
 			t.Errorf("Check with too few %s: got error %v, want one with that text", word, err)
 		}
 	}
-	if got := BoundsOf(1000, 7); got.Memory != 500 || got.Descriptors != 7 {
-		t.Errorf("BoundsOf(1000, 7): got %+v, want memory 500, descriptors 7", got)
+	if got := NewBounds(1000, 7); got.Memory != 500 || got.Descriptors != 7 {
+		t.Errorf("NewBounds(1000, 7): got %+v, want memory 500, descriptors 7", got)
 	}
 }
 
@@ -138,17 +138,17 @@
 	target := Size{360, 600}
 	var steps []Step
 	for _, size := range []Size{{30, 60}, {100, 200}} {
-		step := Step{Size: size, Servers: 3, InForce: Percentiles{Count: 30, P50: 20, P95: 25, P99: 30, Max: 40}}
+		step := Step{Size: size, Servers: 3, ChangeAtAgents: Percentiles{Count: 30, P50: 20, P95: 25, P99: 30, Max: 40}}
 		for window := range 2 {
 			for _, role := range []string{"controlplane", "controlplane", "agent", "proxy"} {
-				use := Use{Processor: float64(size.Nodes) / 100, MemoryMB: 20, WrittenKB: float64(size.Nodes)}
-				step.Processes = append(step.Processes, ProcessUse{Role: role, Phase: PhaseRest, Window: window, Use: use})
+				use := Usage{Processor: float64(size.Nodes) / 100, MemoryMB: 20, WrittenKB: float64(size.Nodes)}
+				step.Processes = append(step.Processes, ProcessUsage{Role: role, Phase: PhaseIdle, Window: window, Usage: use})
 			}
 		}
 		steps = append(steps, step)
 	}
 	return Result{Command: "measure <scale>", Steps: steps, Target: target, Trends: Trends(steps, target),
-		Cuts: []Cut{{Size: target, Why: "needs more descriptors"}}}
+		Skipped: []SkippedSize{{Size: target, Reason: "needs more descriptors"}}}
 }
 
 func TestTrends_sumOfServers(t *testing.T) {
--- a/internal/testkit/scalereport/traffic.go
+++ b/internal/testkit/scalereport/traffic.go
@@ -15,35 +15,35 @@
 	Tokens   int `json:"tokens"`   // per request, one event each
 }
 
-// TrafficUse is the resource usage of the proxy in one window.
-type TrafficUse struct {
+// TrafficUsage is the resource usage of the proxy in one window.
+type TrafficUsage struct {
 	Window int     `json:"window"`
 	Events float64 `json:"events"` // per second, read by the client
-	Proxy  Use     `json:"proxy"`
+	Proxy  Usage   `json:"proxy"`
 }
 
 // TrafficStep holds the measurements at one rate.
 type TrafficStep struct {
-	Rate    Rate         `json:"rate"`
-	Served  float64      `json:"served"` // completely served requests per second
-	Events  float64      `json:"events"` // per second
-	Failed  int64        `json:"failed"`
-	First   Percentiles  `json:"firstMs"` // from sending a request until its first event
-	Windows []TrafficUse `json:"windows"`
+	Rate    Rate           `json:"rate"`
+	Served  float64        `json:"served"` // completely served requests per second
+	Events  float64        `json:"events"` // per second
+	Failed  int64          `json:"failed"`
+	First   Percentiles    `json:"firstMs"` // from sending a request until its first event
+	Windows []TrafficUsage `json:"windows"`
 }
 
 // TrafficResult is the result of a run at several rates, with the proxy's CPU usage fitted to requests and events.
 type TrafficResult struct {
-	Command    string        `json:"command"`
-	Build      string        `json:"build"` // revision of the source code
-	Machine    string        `json:"machine"`
-	Load       float64       `json:"loadAverage"`
-	Steps      []TrafficStep `json:"steps"`
-	Target     Rate          `json:"target"`
-	Processor  Fit           `json:"processor"` // PerNode: per request per second; PerWorker: per event per second
-	AtTarget   float64       `json:"atTarget"`  // percent of a core
-	Interval   float64       `json:"halfInterval95"`
-	MostMemory float64       `json:"mostMemoryMB"`
+	Command     string        `json:"command"`
+	Build       string        `json:"build"` // revision of the source code
+	Machine     string        `json:"machine"`
+	Load        float64       `json:"loadAverage"`
+	Steps       []TrafficStep `json:"steps"`
+	Target      Rate          `json:"target"`
+	Processor   Fit           `json:"processor"` // PerNode: per request per second; PerWorker: per event per second
+	AtTarget    float64       `json:"atTarget"`  // percent of a core
+	Interval    float64       `json:"halfInterval95"`
+	MaxMemoryMB float64       `json:"mostMemoryMB"`
 }
 
 // ErrRates is returned by ParseRates for an invalid list.
@@ -64,17 +64,17 @@
 	return rates, nil
 }
 
-// Conclude fits the proxy's CPU usage and extrapolates it to the target rate. ok is false if there are too few rates.
-func (r *TrafficResult) Conclude() (ok bool) {
+// FitProcessor fits the proxy's CPU usage and extrapolates it to the target rate. ok is false if there are too few rates.
+func (r *TrafficResult) FitProcessor() (ok bool) {
 	var observations []Observation
 	for _, step := range r.Steps {
 		for _, window := range step.Windows {
 			at := Size{Nodes: step.Rate.Requests, Workers: int(window.Events)}
 			observations = append(observations, Observation{Size: at, Value: window.Proxy.Processor})
-			r.MostMemory = max(r.MostMemory, window.Proxy.MemoryMB)
+			r.MaxMemoryMB = max(r.MaxMemoryMB, window.Proxy.MemoryMB)
 		}
 	}
-	fit, ok := FitTo(observations)
+	fit, ok := FitObservations(observations)
 	if !ok {
 		return false
 	}
@@ -99,5 +99,5 @@
 	}
 	fmt.Fprintf(out, "proxy CPU: base %.2f%% of a core, %s; residual %.2f\n", r.Processor.Base, each, r.Processor.Residual)
 	fmt.Fprintf(out, "at %d requests/s of %d tokens: %.1f ± %.1f%% of a core; at most %.0f MB\n",
-		r.Target.Requests, r.Target.Tokens, r.AtTarget, r.Interval, r.MostMemory)
+		r.Target.Requests, r.Target.Tokens, r.AtTarget, r.Interval, r.MaxMemoryMB)
 }
--- a/internal/testkit/scalereport/traffic_test.go
+++ b/internal/testkit/scalereport/traffic_test.go
@@ -20,18 +20,18 @@
 	}
 }
 
-func TestTrafficResult_Conclude(t *testing.T) {
+func TestTrafficResult_FitProcessor(t *testing.T) {
 	result := TrafficResult{Target: Rate{12, 200}}
 	for _, rate := range []Rate{{3, 20}, {6, 200}, {12, 200}, {12, 20}} {
 		events := float64(rate.Requests * rate.Tokens)
-		use := Use{Processor: 1 + 0.5*float64(rate.Requests) + 0.01*events, MemoryMB: float64(rate.Requests)}
-		result.Steps = append(result.Steps, TrafficStep{Rate: rate, Windows: []TrafficUse{{Events: events, Proxy: use}}})
+		use := Usage{Processor: 1 + 0.5*float64(rate.Requests) + 0.01*events, MemoryMB: float64(rate.Requests)}
+		result.Steps = append(result.Steps, TrafficStep{Rate: rate, Windows: []TrafficUsage{{Events: events, Proxy: use}}})
 	}
-	if !result.Conclude() || !approxEqual(result.Processor.PerNode, 0.5) || !approxEqual(result.Processor.PerWorker, 0.01) {
-		t.Fatalf("Conclude: got fit %+v, want 0.5 per request and 0.01 per event", result.Processor)
+	if !result.FitProcessor() || !approxEqual(result.Processor.PerNode, 0.5) || !approxEqual(result.Processor.PerWorker, 0.01) {
+		t.Fatalf("FitProcessor: got fit %+v, want 0.5 per request and 0.01 per event", result.Processor)
 	}
-	if !approxEqual(result.AtTarget, 31) || result.MostMemory != 12 {
-		t.Errorf("at the target rate: got %v%% of a core, want 31; memory %v MB, want 12", result.AtTarget, result.MostMemory)
+	if !approxEqual(result.AtTarget, 31) || result.MaxMemoryMB != 12 {
+		t.Errorf("at the target rate: got %v%% of a core, want 31; memory %v MB, want 12", result.AtTarget, result.MaxMemoryMB)
 	}
 	var text, encoded bytes.Buffer
 	result.WriteText(&text)
@@ -41,7 +41,7 @@
 	if err := result.WriteJSON(&encoded); err != nil || !json.Valid(encoded.Bytes()) {
 		t.Errorf("WriteJSON: error %v, want valid JSON", err)
 	}
-	if new(TrafficResult).Conclude() {
-		t.Error("Conclude without steps: got ok, want false")
+	if new(TrafficResult).FitProcessor() {
+		t.Error("FitProcessor without steps: got ok, want false")
 	}
 }
--- a/internal/testkit/scalerun/full_restart.go
+++ b/internal/testkit/scalerun/full_restart.go
@@ -24,18 +24,18 @@
 	if err != nil {
 		return err
 	}
-	s.step.BlackoutAcked = milliseconds(acked.Sub(started))
+	s.step.AcknowledgedAfterRestart = milliseconds(acked.Sub(started))
 	if err := s.await(ctx, "proxies to have the configuration after the restart of all processes", func() bool { return s.proxiesCurrent(ctx) }); err != nil {
 		return err
 	}
-	s.step.BlackoutProxies = milliseconds(time.Since(started))
+	s.step.AtProxiesAfterRestart = milliseconds(time.Since(started))
 	if err := s.await(ctx, "agents to have all shards after the restart of all processes", s.hollow.complete); err != nil {
 		return err
 	}
-	s.recordUsage(scalereport.PhaseBlackout, 0, before)
-	s.step.Blackout = scalereport.PercentilesOf(s.hollow.elapsed(started, allAgents, completedAt))
+	s.recordUsage(scalereport.PhaseFullRestart, 0, before)
+	s.step.FullRestart = scalereport.PercentilesOf(s.hollow.elapsed(started, allAgents, completedAt))
 	s.plan.printf("  all processes killed and restarted: %d hollow agents complete after p50 %.0f, p99 %.0f, max %.0f ms; a change acknowledged after %.0f ms, at the proxies after %.0f ms",
-		len(s.hollow.agents), s.step.Blackout.P50, s.step.Blackout.P99, s.step.Blackout.Max, s.step.BlackoutAcked, s.step.BlackoutProxies)
+		len(s.hollow.agents), s.step.FullRestart.P50, s.step.FullRestart.P99, s.step.FullRestart.Max, s.step.AcknowledgedAfterRestart, s.step.AtProxiesAfterRestart)
 	return nil
 }
 
--- a/internal/testkit/scalerun/phases.go
+++ b/internal/testkit/scalerun/phases.go
@@ -36,8 +36,8 @@
 		if !ok {
 			continue
 		}
-		s.step.Processes = append(s.step.Processes, scalereport.ProcessUse{Role: process.Role, Node: process.Node, Phase: phase,
-			Window: window, Use: scalereport.UseBetween(earlier, counters, after.at.Sub(before.at))})
+		s.step.Processes = append(s.step.Processes, scalereport.ProcessUsage{Role: process.Role, Node: process.Node, Phase: phase,
+			Window: window, Usage: scalereport.UsageBetween(earlier, counters, after.at.Sub(before.at))})
 	}
 }
 
@@ -49,7 +49,7 @@
 	for window := range s.plan.Windows {
 		before := s.sampleUsage()
 		pause(ctx, s.plan.Window)
-		s.recordUsage(scalereport.PhaseRest, window, before)
+		s.recordUsage(scalereport.PhaseIdle, window, before)
 	}
 	seconds := time.Since(started).Seconds()
 	agents := float64(max(len(s.hollow.agents), 1))
@@ -68,15 +68,15 @@
 // printIdle prints the mean usage of each role in the idle phase.
 func (s *stepRun) printIdle() {
 	for _, role := range []string{"controlplane", "agent", "proxy"} {
-		var sum scalereport.Use
+		var sum scalereport.Usage
 		count := 0.0
 		for _, process := range s.step.Processes {
-			if process.Role == role && process.Phase == scalereport.PhaseRest {
-				sum.Processor += process.Use.Processor
-				sum.MemoryMB += process.Use.MemoryMB
-				sum.ReadKB += process.Use.ReadKB
-				sum.WrittenKB += process.Use.WrittenKB
-				sum.Switches += process.Use.Switches
+			if process.Role == role && process.Phase == scalereport.PhaseIdle {
+				sum.Processor += process.Usage.Processor
+				sum.MemoryMB += process.Usage.MemoryMB
+				sum.ReadKB += process.Usage.ReadKB
+				sum.WrittenKB += process.Usage.WrittenKB
+				sum.Switches += process.Usage.Switches
 				count++
 			}
 		}
@@ -119,11 +119,11 @@
 		far = append(far, s.hollow.elapsed(sent, s.isFar, generationAt)...)
 	}
 	s.recordUsage(scalereport.PhaseChange, 0, before)
-	s.step.Acked, s.step.AtProxies = scalereport.PercentilesOf(acks), scalereport.PercentilesOf(proxies)
-	s.step.InForce, s.step.InForceFar = scalereport.PercentilesOf(near), scalereport.PercentilesOf(far)
+	s.step.ChangeAcknowledged, s.step.ChangeAtProxies = scalereport.PercentilesOf(acks), scalereport.PercentilesOf(proxies)
+	s.step.ChangeAtAgents, s.step.ChangeAtFarAgents = scalereport.PercentilesOf(near), scalereport.PercentilesOf(far)
 	s.plan.printf("  %d changes: acknowledged p50 %.0f ms; at near agents p50 %.0f, p99 %.0f, max %.0f ms; at far agents p99 %.0f, max %.0f ms; at proxies max %.0f ms",
-		s.plan.Changes, s.step.Acked.P50, s.step.InForce.P50, s.step.InForce.P99, s.step.InForce.Max,
-		s.step.InForceFar.P99, s.step.InForceFar.Max, s.step.AtProxies.Max)
+		s.plan.Changes, s.step.ChangeAcknowledged.P50, s.step.ChangeAtAgents.P50, s.step.ChangeAtAgents.P99, s.step.ChangeAtAgents.Max,
+		s.step.ChangeAtFarAgents.P99, s.step.ChangeAtFarAgents.Max, s.step.ChangeAtProxies.Max)
 	return nil
 }
 
@@ -144,10 +144,10 @@
 		return err
 	}
 	s.recordUsage(scalereport.PhaseRestart, 0, before)
-	s.step.Known = scalereport.PercentilesOf(s.hollow.elapsed(started, allAgents, completedAt))
+	s.step.AgentRestart = scalereport.PercentilesOf(s.hollow.elapsed(started, allAgents, completedAt))
 	s.step.Hollow.SnapshotKB = round(float64(s.hollow.traffic.in.Load()-in) / 1000 / float64(max(len(s.hollow.agents), 1)))
 	s.plan.printf("  all %d hollow agents restarted: complete after p50 %.0f, p99 %.0f, max %.0f ms; %.0f kB read by each",
-		len(s.hollow.agents), s.step.Known.P50, s.step.Known.P99, s.step.Known.Max, s.step.Hollow.SnapshotKB)
+		len(s.hollow.agents), s.step.AgentRestart.P50, s.step.AgentRestart.P99, s.step.AgentRestart.Max, s.step.Hollow.SnapshotKB)
 	return nil
 }
 
@@ -165,7 +165,7 @@
 	if owner < 0 {
 		return errNoLeader
 	}
-	host, _, _ := net.SplitHostPort(s.fleet.Control()[owner])
+	host, _, _ := net.SplitHostPort(s.fleet.ControlAddresses()[owner])
 	lost := make([]bool, len(s.hollow.agents))
 	for i, agent := range s.hollow.agents {
 		lost[i] = s.readsFrom(agent.state().server, host)
@@ -181,9 +181,9 @@
 	if err := s.awaitGeneration(ctx); err != nil {
 		return err
 	}
-	s.step.AckedAfter = milliseconds(acked.Sub(killed))
+	s.step.AcknowledgedAfterLoss = milliseconds(acked.Sub(killed))
 	all := s.hollow.elapsed(killed, allAgents, generationAt)
-	s.step.AllAfter = scalereport.PercentilesOf(all).Max
+	s.step.AtAgentsAfterLoss = scalereport.PercentilesOf(all).Max
 	if err := s.await(ctx, "agents to be current after the loss of a server", s.hollow.complete); err != nil {
 		return err
 	}
@@ -191,9 +191,9 @@
 	if err := s.rejoin(ctx, owner); err != nil {
 		return err
 	}
-	s.step.Moved = scalereport.PercentilesOf(s.hollow.elapsed(killed, func(i int) bool { return lost[i] }, completedAt))
+	s.step.Failover = scalereport.PercentilesOf(s.hollow.elapsed(killed, func(i int) bool { return lost[i] }, completedAt))
 	s.plan.printf("  server killed: next change acknowledged after %.0f ms, at all agents after %.0f ms; its %d agents current on other servers after p50 %.0f, max %.0f ms; server restarted, current after %.0f ms",
-		s.step.AckedAfter, s.step.AllAfter, s.step.Moved.Count, s.step.Moved.P50, s.step.Moved.Max, s.step.CaughtUp)
+		s.step.AcknowledgedAfterLoss, s.step.AtAgentsAfterLoss, s.step.Failover.Count, s.step.Failover.P50, s.step.Failover.Max, s.step.ServerRecovery)
 	return nil
 }
 
@@ -204,7 +204,7 @@
 		return err
 	}
 	err := s.await(ctx, "the restarted server to be current", func() bool { return s.serverCurrent(ctx, server) })
-	s.step.CaughtUp = milliseconds(time.Since(started))
+	s.step.ServerRecovery = milliseconds(time.Since(started))
 	return err
 }
 
@@ -221,7 +221,7 @@
 }
 
 func (s *stepRun) status(ctx context.Context, server int) (status serverStatus, ok bool) {
-	response, err := s.operator.Ask(ctx, s.fleet.Control()[server], "GET", "/-/status", 0, nil)
+	response, err := s.operator.Ask(ctx, s.fleet.ControlAddresses()[server], "GET", "/-/status", 0, nil)
 	if err != nil {
 		return status, false
 	}
--- a/internal/testkit/scalerun/plan.go
+++ b/internal/testkit/scalerun/plan.go
@@ -40,17 +40,17 @@
 	memoryPerProcess = 256 // MB
 )
 
-// Play measures all sizes for which the machine has enough memory and file descriptors. If it returns an error, the
+// Run measures all sizes for which the machine has enough memory and file descriptors. If it returns an error, the
 // result has the steps completed before.
-func Play(ctx context.Context, plan Plan) (scalereport.Result, error) {
-	result := scalereport.Result{Machine: machineName(runtime.NumCPU()), Target: plan.Target, Far: plan.farText()}
+func Run(ctx context.Context, plan Plan) (scalereport.Result, error) {
+	result := scalereport.Result{Machine: machineName(runtime.NumCPU()), Target: plan.Target, FarLink: plan.farText()}
 	bounds, err := machineBounds()
 	if err != nil {
 		return result, err
 	}
 	for i, size := range plan.Sizes {
-		if why := bounds.Check(scalereport.NeedOf(size, plan.Servers, plan.Edges, plan.Routes)); why != nil {
-			result.Cuts = append(result.Cuts, scalereport.Cut{Size: size, Why: why.Error()})
+		if why := bounds.Check(scalereport.EstimateNeed(size, plan.Servers, plan.Edges, plan.Routes)); why != nil {
+			result.Skipped = append(result.Skipped, scalereport.SkippedSize{Size: size, Reason: why.Error()})
 			plan.printf("%d nodes, %d workers: skipped: %v", size.Nodes, size.Workers, why)
 			continue
 		}
@@ -93,6 +93,6 @@
 	started := time.Now()
 	p.printf("%d nodes, %d workers, %d control plane servers, %d routes (load average %.1f)", size.Nodes, size.Workers, p.Servers, p.Routes, LoadAverage())
 	err = s.run(ctx)
-	s.step.TookS = time.Since(started).Seconds()
+	s.step.DurationSeconds = time.Since(started).Seconds()
 	return s.step, err
 }
--- a/internal/testkit/scalerun/procfs.go
+++ b/internal/testkit/scalerun/procfs.go
@@ -55,7 +55,7 @@
 	if err != nil {
 		return nil, eris.Wrap(err, "read /proc file")
 	}
-	return scalereport.Named(string(text)), nil
+	return scalereport.ParseNamedNumbers(string(text)), nil
 }
 
 // machineBounds returns the resources that a run may use on this machine.
@@ -68,7 +68,7 @@
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &files); err != nil {
 		return scalereport.Bounds{}, eris.Wrap(err, "read the limit of file descriptors")
 	}
-	return scalereport.BoundsOf(memory["MemTotal"], int(min(files.Cur, 1<<30))), nil
+	return scalereport.NewBounds(memory["MemTotal"], int(min(files.Cur, 1<<30))), nil
 }
 
 // machineName describes the machine by its number of processors and its memory.
--- a/internal/testkit/scalerun/step.go
+++ b/internal/testkit/scalerun/step.go
@@ -49,7 +49,7 @@
 }
 
 func newStepRun(plan Plan, size scalereport.Size, fleet *localfleet.Fleet, bounds scalereport.Bounds) *stepRun {
-	return &stepRun{plan: plan, fleet: fleet, bounds: bounds, operator: localfleet.NewOperator(fleet.Control()),
+	return &stepRun{plan: plan, fleet: fleet, bounds: bounds, operator: localfleet.NewOperator(fleet.ControlAddresses()),
 		step:   scalereport.Step{Size: size, Servers: plan.Servers, Edges: plan.Edges, Routes: plan.Routes},
 		hollow: hollowAgents{traffic: new(feedTraffic)}, failures: map[string]int{}, stopAll: func() {}}
 }
@@ -134,7 +134,7 @@
 // proxiesCurrent reports whether all real proxies have the latest configuration according to their metrics.
 func (s *stepRun) proxiesCurrent(ctx context.Context) bool {
 	for edge := range s.plan.Edges {
-		response, err := s.operator.Ask(ctx, s.fleet.Readiness(edge), "GET", "/-/metrics", 0, nil)
+		response, err := s.operator.Ask(ctx, s.fleet.ReadinessAddress(edge), "GET", "/-/metrics", 0, nil)
 		if err != nil || !strings.Contains(string(response.Body), fmt.Sprintf("view_generation %d\n", s.generation)) {
 			return false
 		}
@@ -152,7 +152,7 @@
 	}
 	for i := range max(hollow, 0) {
 		options := agentOptions{node: fmt.Sprintf("hollow-%d", i+1), zone: localfleet.Zone(i), ip: s.fleet.HollowIP(i),
-			seeds: s.fleet.Control()[:min(3, s.plan.Servers)], feedPort: ports[0], traffic: s.hollow.traffic}
+			seeds: s.fleet.ControlAddresses()[:min(3, s.plan.Servers)], feedPort: ports[0], traffic: s.hollow.traffic}
 		if s.isFar(i) {
 			options.relayAddresses = slow
 		}
@@ -174,7 +174,7 @@
 	if s.plan.FarEvery == 0 {
 		return nil, nil
 	}
-	return s.fleet.SlowPeers(s.plan.Far)
+	return s.fleet.RelayPeers(s.plan.Far)
 }
 
 // startMonitors makes the hollow nodes monitor each other and the first real edge.
@@ -202,9 +202,9 @@
 func (s *stepRun) startWorkers(ctx context.Context) {
 	for i := range s.step.Size.Workers {
 		at := i % s.plan.Servers
-		control := append(slices.Clone(s.fleet.Control()[at:]), s.fleet.Control()[:at]...)
+		control := append(slices.Clone(s.fleet.ControlAddresses()[at:]), s.fleet.ControlAddresses()[:at]...)
 		options := fakemodelworker.Options{ID: fmt.Sprintf("worker-%d", i+1), Zone: localfleet.Zone(i), Service: modelService(i),
-			Stage: stageOf(i), Address: s.fleet.Worker(i), Slots: workerSlots, Control: control, Heartbeat: s.plan.Heartbeat}
+			Stage: stageOf(i), Address: s.fleet.WorkerAddress(i), Slots: workerSlots, Control: control, Heartbeat: s.plan.Heartbeat}
 		first := true
 		s.workers.Go(func() {
 			fakemodelworker.Register(ctx, options, func(err error) {
--- a/internal/testkit/scalerun/traffic.go
+++ b/internal/testkit/scalerun/traffic.go
@@ -51,8 +51,8 @@
 	requests     sync.WaitGroup
 }
 
-// PlayTraffic measures one proxy at each rate. If it returns an error, the result has the rates measured so far.
-func PlayTraffic(ctx context.Context, plan TrafficPlan) ([]scalereport.TrafficStep, error) {
+// RunTraffic measures one proxy at each rate. If it returns an error, the result has the rates measured so far.
+func RunTraffic(ctx context.Context, plan TrafficPlan) ([]scalereport.TrafficStep, error) {
 	ctx, cancel := context.WithTimeout(ctx, plan.Limit)
 	defer cancel()
 	fleet, err := localfleet.New(localfleet.Layout{Binary: plan.Binary, Directory: plan.Directory, Servers: 1, Edges: 1,
@@ -92,13 +92,13 @@
 			stage = "prefill"
 		}
 		_, err := fakemodelworker.Start(ctx, fakemodelworker.Options{ID: fmt.Sprintf("worker-%d", i+1), Zone: localfleet.Zone(i),
-			Service: modelService(0), Stage: stage, Address: l.fleet.Worker(i), Slots: workerSlots, Control: l.fleet.Control(),
+			Service: modelService(0), Stage: stage, Address: l.fleet.WorkerAddress(i), Slots: workerSlots, Control: l.fleet.ControlAddresses(),
 			Heartbeat: time.Second, TokenTime: l.plan.TokenTime, Handles: handles})
 		if err != nil {
 			return err
 		}
 	}
-	operator := localfleet.NewOperator(l.fleet.Control())
+	operator := localfleet.NewOperator(l.fleet.ControlAddresses())
 	defer operator.Close()
 	if err := operator.Replace(ctx, 0, configurationDocument(1, 1)); err != nil {
 		return err
@@ -122,7 +122,7 @@
 		before, at := l.events.Load(), time.Now()
 		use := l.measure(ctx)
 		observed := float64(l.events.Load()-before) / time.Since(at).Seconds()
-		step.Windows = append(step.Windows, scalereport.TrafficUse{Window: window, Events: observed, Proxy: use})
+		step.Windows = append(step.Windows, scalereport.TrafficUsage{Window: window, Events: observed, Proxy: use})
 	}
 	seconds := time.Since(started).Seconds()
 	step.Served, step.Events = float64(l.served.Load()-served)/seconds, float64(l.events.Load()-events)/seconds
@@ -136,16 +136,16 @@
 }
 
 // measure returns the proxy's resource usage over one window.
-func (l *trafficRun) measure(ctx context.Context) scalereport.Use {
+func (l *trafficRun) measure(ctx context.Context) scalereport.Usage {
 	pid := l.fleet.Proxy(0).PID()
 	before, err := readCounters(pid)
 	at := time.Now()
 	pause(ctx, l.plan.Window)
 	after, failure := readCounters(pid)
 	if err != nil || failure != nil {
-		return scalereport.Use{}
+		return scalereport.Usage{}
 	}
-	return scalereport.UseBetween(before, after, time.Since(at))
+	return scalereport.UsageBetween(before, after, time.Since(at))
 }
 
 // sendAtRate sends requests at a fixed rate, independent of their outcome, until ctx ends.
@@ -172,7 +172,7 @@
 // send sends one request and reads its stream to the end.
 func (l *trafficRun) send(ctx context.Context, tokens int) error {
 	number, sent := l.number.Add(1), time.Now()
-	response, failure := l.pool.RoundTrip(ctx, &upstream.Request{Address: l.fleet.Front(0), Method: "POST", Target: "/v1/chat", StreamEvents: true,
+	response, failure := l.pool.RoundTrip(ctx, &upstream.Request{Address: l.fleet.ProxyAddress(0), Method: "POST", Target: "/v1/chat", StreamEvents: true,
 		Body: []byte("{}"), Header: http1.Header{{Name: "Host", Value: "tenant-0.example"},
 			{Name: "X-Request-Id", Value: fmt.Sprintf("scale-%d", number)}, {Name: "X-Model", Value: "m"},
 			{Name: "X-Token-Count", Value: fmt.Sprintf("%d,%d", promptTokens, tokens)},
