--- a/internal/testkit/localfleet/fleet.go
+++ b/internal/testkit/localfleet/fleet.go
@@ -83,7 +83,7 @@
 	return fmt.Sprintf("127.%d.%d.%d", f.addresses.network(), network, host+1)
 }
 
-// Control returns the addresses of the servers' control API.
+// ControlAddresses returns the addresses of the servers' control API.
 func (f *Fleet) ControlAddresses() []string {
 	addresses := make([]string, f.layout.Servers)
 	for i := range addresses {
@@ -92,17 +92,17 @@
 	return addresses
 }
 
-// Front returns the address at which the i-th edge's proxy accepts clients.
+// ProxyAddress returns the address at which the i-th edge's proxy accepts clients.
 func (f *Fleet) ProxyAddress(i int) string {
 	return fmt.Sprintf("%s:%d", f.address(networkEdges, i), portFront)
 }
 
-// Readiness returns the address of the i-th edge's readiness check.
+// ReadinessAddress returns the address of the i-th edge's readiness check.
 func (f *Fleet) ReadinessAddress(i int) string {
 	return fmt.Sprintf("%s:%d", f.address(networkEdges, i), portReadiness)
 }
 
-// Worker returns the address of the i-th fake worker.
+// WorkerAddress returns the address of the i-th fake worker.
 func (f *Fleet) WorkerAddress(i int) string {
 	return fmt.Sprintf("%s:%d", f.address(networkWorkers+i/hostsPerNetwork, i%hostsPerNetwork), PortWorker)
 }
@@ -118,7 +118,7 @@
 // PortRange returns the port range of the servers and of the first edge.
 func (f *Fleet) PortRange() [2]int { return f.addresses.ports(0) }
 
-// Peers returns the addresses at which servers accept connections from other servers and from agents.
+// PeerAddresses returns the addresses at which servers accept connections from other servers and from agents.
 func (f *Fleet) PeerAddresses() []string {
 	addresses := make([]string, f.layout.Servers)
 	for i := range addresses {
--- a/internal/testkit/localfleet/relay.go
+++ b/internal/testkit/localfleet/relay.go
@@ -50,7 +50,7 @@
 	return false
 }
 
-// SlowPeers opens relays to the servers over the given link and returns a map from each server's address to its
+// RelayPeers opens relays to the servers over the given link and returns a map from each server's address to its
 // relay's address.
 func (f *Fleet) RelayPeers(link Link) (map[string]string, error) {
 	f.mutex.Lock()
--- a/internal/testkit/nodesim/day.go
+++ b/internal/testkit/nodesim/day.go
@@ -47,7 +47,7 @@
 // Goal holds the weights of the terms of a day's score.
 type Goal struct{ Day, WorstWindow, WorstClass float64 }
 
-// Replace is a release: a fraction of the workers drains in steps, and their successors start with cold caches.
+// Release replaces workers: a fraction of the workers drains in steps, and their successors start with cold caches.
 type Release struct {
 	At, Within float64 // seconds
 	Share      float64
@@ -55,33 +55,33 @@
 	Drain      Range // seconds until running jobs are killed
 }
 
-// Loss makes a fraction of the workers unreachable for some time; they return with cold caches.
+// WorkerLoss makes a fraction of the workers unreachable for some time; they return with cold caches.
 type WorkerLoss struct{ At, For, Share float64 }
 
-// Kill kills a fraction of the nodes at the same time; they restart without state.
+// NodeKill kills a fraction of the nodes at the same time; they restart without state.
 type NodeKill struct{ At, Down, Share float64 }
 
 // Day holds the parameters of one simulated day. All random values derive from Seed.
 type Day struct {
-	Seed     uint64
-	Settings balance.Settings // Balancers and Ordinal are overwritten for each node
-	Nodes    int
-	Workers  int
-	Length   float64 // seconds during which operations arrive
-	Load     float64 // offered load as a fraction of the capacity of warm workers
-	TrafficSpread   float64 // coefficient of variation of the nodes' traffic weights, lognormal like all noise
-	Kinds    []Kind
-	Classes  []Class
-
-	MaxWork     float64 // maximum work of a job as a fraction of its class's timeout
+	Seed          uint64
+	Settings      balance.Settings // Balancers and Ordinal are overwritten for each node
+	Nodes         int
+	Workers       int
+	Length        float64 // seconds during which operations arrive
+	Load          float64 // offered load as a fraction of the capacity of warm workers
+	TrafficSpread float64 // coefficient of variation of the nodes' traffic weights, lognormal like all noise
+	Kinds         []Kind
+	Classes       []Class
+
+	MaxWork      float64 // maximum work of a job as a fraction of its class's timeout
 	AttemptNoise float64 // coefficient of variation between attempts at the same operation
 	HintNoise    float64 // coefficient of variation of the error of cost hints; below 0: no hints
 	ReportEvery  Range   // seconds between load reports
 	ReportDelay  Range   // seconds until a load report can be read
 	ReportNoise  float64 // standard deviation of reported values, in slots or jobs
 	WarmUpWork   float64 // work that warms a worker up, in slot-seconds as a fraction of cores times WarmUpTime
-	NetworkDelay       Range   // one-way network delay, seconds
-	ListDelay     Range   // seconds until a change of the endpoint list reaches a node
+	NetworkDelay Range   // one-way network delay, seconds
+	ListDelay    Range   // seconds until a change of the endpoint list reaches a node
 	PeerDelay    Range   // delay of messages between nodes, seconds
 	PeerLoss     float64 // fraction of messages between nodes that are lost
 	Retries      int     // retries that a client makes on its own
@@ -89,8 +89,8 @@
 
 	SlowShare, SlowFactor float64
 	Release               Release
-	WorkerLoss                  WorkerLoss
-	NodeKill                  NodeKill
+	WorkerLoss            WorkerLoss
+	NodeKill              NodeKill
 
 	Goal           Goal
 	HandshakePrice float64 // fraction of the price of a handshake charged for each new connection
--- a/internal/testkit/nodesim/scenarios.go
+++ b/internal/testkit/nodesim/scenarios.go
@@ -6,7 +6,7 @@
 	"ospreybend/balance"
 )
 
-// Workshop returns a day without faults at a site with two kinds of prep workers, which have four cores, a FIFO queue
+// ReferenceDay returns a day without faults at a site with two kinds of prep workers, which have four cores, a FIFO queue
 // and cold starts, and three classes of operations, one of which is not idempotent.
 func ReferenceDay(nodes, workers int, seed uint64) Day {
 	class := func(latencyTarget, giveUp int, worth, stretch float64, effect balance.Effect) balance.Class {
@@ -39,14 +39,14 @@
 		Backoff: Range{0.012, 0.097}}
 }
 
-// Released returns the day with a release that replaces 60% of the prep workers within 7 s, and with one in eight slow.
+// WithRelease returns the day with a release that replaces 60% of the prep workers within 7 s, and with one in eight slow.
 func (d Day) WithRelease() Day {
 	d.Release = Release{At: 7, Within: 7, Share: 0.6, Steps: 4, Drain: Range{3.3, 5.8}}
 	d.SlowShare, d.SlowFactor = 0.125, 5
 	return d
 }
 
-// Returned returns the day with 30% of the prep workers unreachable for 5 s, after which they have cold caches, and
+// WithWorkerLoss returns the day with 30% of the prep workers unreachable for 5 s, after which they have cold caches, and
 // with one in eight slow.
 func (d Day) WithWorkerLoss() Day {
 	d.WorkerLoss = WorkerLoss{At: 7, For: 5, Share: 0.3}
@@ -54,7 +54,7 @@
 	return d
 }
 
-// Killed returns the day with 70% of the nodes killed at once 4 s before a release.
+// WithNodeKill returns the day with 70% of the nodes killed at once 4 s before a release.
 func (d Day) WithNodeKill() Day {
 	d.NodeKill = NodeKill{At: 10, Down: 2, Share: 0.7}
 	d.Release = Release{At: 14, Within: 12, Share: 0.6, Steps: 7, Drain: Range{3.3, 5.8}}
--- a/internal/testkit/nodesim/simulation_test.go
+++ b/internal/testkit/nodesim/simulation_test.go
@@ -23,7 +23,7 @@
 	d := ReferenceDay(20, 15, 3).WithNodeKill()
 	a, b := mustSimulate(t, d), mustSimulate(t, d)
 	if !reflect.DeepEqual(a, b) {
-		t.Errorf("same day played twice: first %+v, then %+v", a, b)
+		t.Errorf("same day simulated twice: first %+v, then %+v", a, b)
 	}
 	if c := mustSimulate(t, ReferenceDay(20, 15, 4).WithNodeKill()); reflect.DeepEqual(a, c) {
 		t.Error("seeds 3 and 4 gave the same result")
--- a/internal/testkit/nodesim/world.go
+++ b/internal/testkit/nodesim/world.go
@@ -73,7 +73,7 @@
 	FailedValue                float64
 }
 
-// Play simulates a day.
+// Simulate simulates a day.
 func Simulate(day Day) (Result, error) {
 	if err := day.check(); err != nil {
 		return Result{}, err
@@ -272,7 +272,7 @@
 	return float64(r.InTime + r.Late + r.Rejected + r.Failed + r.Lost)
 }
 
-// G returns the day's score: the weighted fractions of value served over the day, in its worst 10 s and for its worst
+// Score returns the day's score: the weighted fractions of value served over the day, in its worst 10 s and for its worst
 // class, less the prices of handshakes, probes and messages per request.
 func (r Result) Score(day Day) float64 {
 	if r.Value == 0 {
--- a/internal/testkit/scalereport/bounds.go
+++ b/internal/testkit/scalereport/bounds.go
@@ -32,7 +32,7 @@
 	memoryPerRoute       = 16 << 10 // bytes in each server, agent and proxy process
 )
 
-// NeedOf estimates the resources of a fleet.
+// EstimateNeed estimates the resources of a fleet.
 func EstimateNeed(size Size, servers, edges, routes int) Need {
 	processes := servers + 2*edges
 	return Need{
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// BoundsOf returns the bounds for a machine with the given memory in bytes and limit of file descriptors.
+// NewBounds returns the bounds for a machine with the given memory in bytes and limit of file descriptors.
 func NewBounds(memory int64, descriptors int) Bounds {
 	return Bounds{Memory: memory / 2, Descriptors: descriptors, Processes: maxProcesses}
 }
--- a/internal/testkit/scalereport/fit.go
+++ b/internal/testkit/scalereport/fit.go
@@ -40,7 +40,7 @@
 var studentQuantiles = []float64{12.71, 4.30, 3.18, 2.78, 2.57, 2.45, 2.36, 2.31, 2.26, 2.23, 2.20, 2.18, 2.16,
 	2.14, 2.13, 2.12, 2.11, 2.10, 2.09, 2.09, 2.08, 2.07, 2.07, 2.06, 2.06, 2.06, 2.05, 2.05, 2.05, 2.04}
 
-// FitTo fits observations. ok is false if there are too few or all have the same size.
+// FitObservations fits observations. ok is false if there are too few or all have the same size.
 func FitObservations(observations []Observation) (fit Fit, ok bool) {
 	if fit, ok := fitTerms(observations, 3); ok && !proportional(observations) {
 		return fit, true
--- a/internal/testkit/scalereport/process.go
+++ b/internal/testkit/scalereport/process.go
@@ -50,7 +50,7 @@
 	return time.Duration(user+system) * time.Second / ticksPerSecond, nil
 }
 
-// Named parses "NAME: NUMBER [kB]" lines as in /proc/PID/status and /proc/PID/io. Numbers in kB are returned in bytes;
+// ParseNamedNumbers parses "NAME: NUMBER [kB]" lines as in /proc/PID/status and /proc/PID/io. Numbers in kB are returned in bytes;
 // lines without a number are skipped.
 func ParseNamedNumbers(text string) map[string]int64 {
 	values := map[string]int64{}
@@ -72,7 +72,7 @@
 	return values
 }
 
-// Use is the resource usage of a process over an interval.
+// Usage is the resource usage of a process over an interval.
 type Usage struct {
 	Processor float64 `json:"processorPercent"` // CPU time in percent of one core
 	MemoryMB  float64 `json:"memoryMB"`         // resident memory at the end
@@ -90,7 +90,7 @@
 	thousand = 1e3
 )
 
-// UseBetween returns the usage between two readings of the counters, taken span apart.
+// UsageBetween returns the usage between two readings of the counters, taken span apart.
 func UsageBetween(before, after Counters, span time.Duration) Usage {
 	seconds := span.Seconds()
 	return Usage{
--- a/internal/testkit/scalereport/result.go
+++ b/internal/testkit/scalereport/result.go
@@ -16,13 +16,13 @@
 	PhaseFullRestart = "blackout" // all processes are killed and restarted at once
 )
 
-// ProcessUse is the resource usage of one process in one window of a phase.
+// ProcessUsage is the resource usage of one process in one window of a phase.
 type ProcessUsage struct {
 	Role   string `json:"role"`
 	Node   string `json:"node"`
 	Phase  string `json:"phase"`
 	Window int    `json:"window"`
-	Usage    Usage    `json:"use"`
+	Usage  Usage  `json:"use"`
 }
 
 // Hollow holds the measurements of hollow agents and workers, in the idle phase unless noted otherwise. Rates are per
@@ -45,34 +45,34 @@
 
 // Step holds the measurements at one fleet size.
 type Step struct {
-	Size               Size         `json:"size"`
-	Servers            int          `json:"keepers"`
-	Edges              int          `json:"edges"`  // nodes that run as real processes
-	Routes             int          `json:"routes"` // routes in the configuration
-	Processes          []ProcessUsage `json:"processes"`
-	Hollow             Hollow       `json:"hollow"`
-	AgentRestart              Percentiles  `json:"restartMs"`         // from the restart of all hollow agents until each has all shards
-	ChangeAtAgents            Percentiles  `json:"changeMs"`          // from sending a change until each agent without a far link has it
-	ChangeAtFarAgents         Percentiles  `json:"changeFarMs"`       // the same for agents with a far link
-	ChangeAtProxies          Percentiles  `json:"changeAtProxyMs"`   // from sending a change until all real proxies show it in their metrics
-	ChangeAcknowledged              Percentiles  `json:"ackMs"`             // from sending a change until its acknowledgement
-	FirstConfiguration float64      `json:"wholeMs"`           // from sending the first configuration until all agents have it
-	Failover              Percentiles  `json:"lossMs"`            // from the kill of a server until each of its agents is current on another
-	AcknowledgedAfterLoss         float64      `json:"ackAfterLossMs"`    // from the kill until a change sent right after it is acknowledged
-	AtAgentsAfterLoss           float64      `json:"changeAfterLossMs"` // the same until all agents have it
-	ServerRecovery           float64      `json:"caughtUpMs"`        // from the restart of the killed server until it is current in all shards
-
-	FullRestart        Percentiles `json:"blackoutMs"`            // from the restart of all processes until each agent has all shards
-	AcknowledgedAfterRestart   float64     `json:"ackAfterBlackoutMs"`    // the same until a change is acknowledged
-	AtProxiesAfterRestart float64     `json:"changeAfterBlackoutMs"` // the same until all real proxies have it
+	Size                  Size           `json:"size"`
+	Servers               int            `json:"keepers"`
+	Edges                 int            `json:"edges"`  // nodes that run as real processes
+	Routes                int            `json:"routes"` // routes in the configuration
+	Processes             []ProcessUsage `json:"processes"`
+	Hollow                Hollow         `json:"hollow"`
+	AgentRestart          Percentiles    `json:"restartMs"`         // from the restart of all hollow agents until each has all shards
+	ChangeAtAgents        Percentiles    `json:"changeMs"`          // from sending a change until each agent without a far link has it
+	ChangeAtFarAgents     Percentiles    `json:"changeFarMs"`       // the same for agents with a far link
+	ChangeAtProxies       Percentiles    `json:"changeAtProxyMs"`   // from sending a change until all real proxies show it in their metrics
+	ChangeAcknowledged    Percentiles    `json:"ackMs"`             // from sending a change until its acknowledgement
+	FirstConfiguration    float64        `json:"wholeMs"`           // from sending the first configuration until all agents have it
+	Failover              Percentiles    `json:"lossMs"`            // from the kill of a server until each of its agents is current on another
+	AcknowledgedAfterLoss float64        `json:"ackAfterLossMs"`    // from the kill until a change sent right after it is acknowledged
+	AtAgentsAfterLoss     float64        `json:"changeAfterLossMs"` // the same until all agents have it
+	ServerRecovery        float64        `json:"caughtUpMs"`        // from the restart of the killed server until it is current in all shards
+
+	FullRestart              Percentiles `json:"blackoutMs"`            // from the restart of all processes until each agent has all shards
+	AcknowledgedAfterRestart float64     `json:"ackAfterBlackoutMs"`    // the same until a change is acknowledged
+	AtProxiesAfterRestart    float64     `json:"changeAfterBlackoutMs"` // the same until all real proxies have it
 
 	DurationSeconds float64 `json:"tookS"`
 }
 
-// Cut is a size that was skipped.
+// SkippedSize is a size that was skipped.
 type SkippedSize struct {
-	Size Size   `json:"size"`
-	Reason  string `json:"why"`
+	Size   Size   `json:"size"`
+	Reason string `json:"why"`
 }
 
 // Trend is the fit of one figure over all steps.
@@ -88,15 +88,15 @@
 
 // Result is the result of a scale run.
 type Result struct {
-	Command string    `json:"command"`
-	Build   string    `json:"build"` // revision of the source code
-	Machine string    `json:"machine"`
-	Load    []float64 `json:"loadAverages"` // of the machine at the start of each step
-	FarLink     string    `json:"farLinks"`
-	Steps   []Step    `json:"steps"`
-	Skipped    []SkippedSize     `json:"cuts"`
-	Target  Size      `json:"target"`
-	Trends  []Trend   `json:"trends"`
+	Command string        `json:"command"`
+	Build   string        `json:"build"` // revision of the source code
+	Machine string        `json:"machine"`
+	Load    []float64     `json:"loadAverages"` // of the machine at the start of each step
+	FarLink string        `json:"farLinks"`
+	Steps   []Step        `json:"steps"`
+	Skipped []SkippedSize `json:"cuts"`
+	Target  Size          `json:"target"`
+	Trends  []Trend       `json:"trends"`
 }
 
 // WriteJSON writes the result as indented JSON.
--- a/internal/testkit/scalereport/scale_test.go
+++ b/internal/testkit/scalereport/scale_test.go
@@ -21,7 +21,7 @@
 	}
 	fit, ok := FitObservations(observations)
 	if !ok || fit.Together || !approxEqual(fit.Base, 2) || !approxEqual(fit.PerNode, 0.5) || !approxEqual(fit.PerWorker, 0.1) {
-		t.Fatalf("FitTo: got %+v, %v, want 2 + 0.5 per node + 0.1 per worker", fit, ok)
+		t.Fatalf("FitObservations: got %+v, %v, want 2 + 0.5 per node + 0.1 per worker", fit, ok)
 	}
 	if value, half := fit.At(Size{1000, 2000}); !approxEqual(value, 702) || half > 1e-6 {
 		t.Errorf("At 1000 nodes, 2000 workers: got %v ± %v, want 702 ± 0", value, half)
@@ -31,13 +31,13 @@
 func TestFitObservations_proportionalSizes(t *testing.T) {
 	fit, ok := FitObservations([]Observation{{Size{30, 60}, 31}, {Size{100, 200}, 101}, {Size{360, 600}, 361}})
 	if !ok || !fit.Together || !approxEqual(fit.PerNode, 1) || !approxEqual(fit.Base, 1) || fit.PerWorker != 0 {
-		t.Errorf("FitTo of proportional sizes: got %+v, %v, want 1 + 1 per node, Together", fit, ok)
+		t.Errorf("FitObservations of proportional sizes: got %+v, %v, want 1 + 1 per node, Together", fit, ok)
 	}
 	if _, ok := FitObservations([]Observation{{Size{30, 60}, 1}, {Size{30, 60}, 2}}); ok {
-		t.Error("FitTo of two observations at the same size: got ok, want false")
+		t.Error("FitObservations of two observations at the same size: got ok, want false")
 	}
 	if _, ok := FitObservations(nil); ok {
-		t.Error("FitTo without observations: got ok, want false")
+		t.Error("FitObservations without observations: got ok, want false")
 	}
 }
 
@@ -88,7 +88,7 @@
 func TestParseNamedNumbers_kilobytes(t *testing.T) {
 	got := ParseNamedNumbers("Name:\tospreyfleet\nVmRSS:\t  20 kB\nvoluntary_ctxt_switches:\t7\nrchar: 12\n\n")
 	if len(got) != 3 || got["VmRSS"] != 20480 || got["voluntary_ctxt_switches"] != 7 || got["rchar"] != 12 {
-		t.Errorf("Named: got %v, want VmRSS 20480, voluntary_ctxt_switches 7, rchar 12", got)
+		t.Errorf("ParseNamedNumbers: got %v, want VmRSS 20480, voluntary_ctxt_switches 7, rchar 12", got)
 	}
 }
 
@@ -97,7 +97,7 @@
 	after := Counters{Processor: 2 * time.Second, Resident: 3e6, Peak: 4e6, Read: 11000, Written: 4000, Reads: 11, Writes: 22, Switches: 13}
 	want := Usage{Processor: 10, MemoryMB: 3, PeakMB: 4, ReadKB: 1, WrittenKB: 0.2, Reads: 1, Writes: 2, Switches: 1}
 	if got := UsageBetween(before, after, 10*time.Second); got != want {
-		t.Errorf("UseBetween: got %+v, want %+v", got, want)
+		t.Errorf("UsageBetween: got %+v, want %+v", got, want)
 	}
 }
 
@@ -117,7 +117,7 @@
 		}
 	}
 	if got := NewBounds(1000, 7); got.Memory != 500 || got.Descriptors != 7 {
-		t.Errorf("BoundsOf(1000, 7): got %+v, want memory 500, descriptors 7", got)
+		t.Errorf("NewBounds(1000, 7): got %+v, want memory 500, descriptors 7", got)
 	}
 }
 
--- a/internal/testkit/scalereport/traffic.go
+++ b/internal/testkit/scalereport/traffic.go
@@ -15,34 +15,34 @@
 	Tokens   int `json:"tokens"`   // per request, one event each
 }
 
-// TrafficUse is the resource usage of the proxy in one window.
+// TrafficUsage is the resource usage of the proxy in one window.
 type TrafficUsage struct {
 	Window int     `json:"window"`
 	Events float64 `json:"events"` // per second, read by the client
-	Proxy  Usage     `json:"proxy"`
+	Proxy  Usage   `json:"proxy"`
 }
 
 // TrafficStep holds the measurements at one rate.
 type TrafficStep struct {
-	Rate    Rate         `json:"rate"`
-	Served  float64      `json:"served"` // completely served requests per second
-	Events  float64      `json:"events"` // per second
-	Failed  int64        `json:"failed"`
-	First   Percentiles  `json:"firstMs"` // from sending a request until its first event
+	Rate    Rate           `json:"rate"`
+	Served  float64        `json:"served"` // completely served requests per second
+	Events  float64        `json:"events"` // per second
+	Failed  int64          `json:"failed"`
+	First   Percentiles    `json:"firstMs"` // from sending a request until its first event
 	Windows []TrafficUsage `json:"windows"`
 }
 
 // TrafficResult is the result of a run at several rates, with the proxy's CPU usage fitted to requests and events.
 type TrafficResult struct {
-	Command    string        `json:"command"`
-	Build      string        `json:"build"` // revision of the source code
-	Machine    string        `json:"machine"`
-	Load       float64       `json:"loadAverage"`
-	Steps      []TrafficStep `json:"steps"`
-	Target     Rate          `json:"target"`
-	Processor  Fit           `json:"processor"` // PerNode: per request per second; PerWorker: per event per second
-	AtTarget   float64       `json:"atTarget"`  // percent of a core
-	Interval   float64       `json:"halfInterval95"`
+	Command     string        `json:"command"`
+	Build       string        `json:"build"` // revision of the source code
+	Machine     string        `json:"machine"`
+	Load        float64       `json:"loadAverage"`
+	Steps       []TrafficStep `json:"steps"`
+	Target      Rate          `json:"target"`
+	Processor   Fit           `json:"processor"` // PerNode: per request per second; PerWorker: per event per second
+	AtTarget    float64       `json:"atTarget"`  // percent of a core
+	Interval    float64       `json:"halfInterval95"`
 	MaxMemoryMB float64       `json:"mostMemoryMB"`
 }
 
@@ -64,7 +64,7 @@
 	return rates, nil
 }
 
-// Conclude fits the proxy's CPU usage and extrapolates it to the target rate. ok is false if there are too few rates.
+// FitProcessor fits the proxy's CPU usage and extrapolates it to the target rate. ok is false if there are too few rates.
 func (r *TrafficResult) FitProcessor() (ok bool) {
 	var observations []Observation
 	for _, step := range r.Steps {
--- a/internal/testkit/scalereport/traffic_test.go
+++ b/internal/testkit/scalereport/traffic_test.go
@@ -28,7 +28,7 @@
 		result.Steps = append(result.Steps, TrafficStep{Rate: rate, Windows: []TrafficUsage{{Events: events, Proxy: use}}})
 	}
 	if !result.FitProcessor() || !approxEqual(result.Processor.PerNode, 0.5) || !approxEqual(result.Processor.PerWorker, 0.01) {
-		t.Fatalf("Conclude: got fit %+v, want 0.5 per request and 0.01 per event", result.Processor)
+		t.Fatalf("FitProcessor: got fit %+v, want 0.5 per request and 0.01 per event", result.Processor)
 	}
 	if !approxEqual(result.AtTarget, 31) || result.MaxMemoryMB != 12 {
 		t.Errorf("at the target rate: got %v%% of a core, want 31; memory %v MB, want 12", result.AtTarget, result.MaxMemoryMB)
@@ -42,6 +42,6 @@
 		t.Errorf("WriteJSON: error %v, want valid JSON", err)
 	}
 	if new(TrafficResult).FitProcessor() {
-		t.Error("Conclude without steps: got ok, want false")
+		t.Error("FitProcessor without steps: got ok, want false")
 	}
 }
--- a/internal/testkit/scalerun/plan.go
+++ b/internal/testkit/scalerun/plan.go
@@ -40,7 +40,7 @@
 	memoryPerProcess = 256 // MB
 )
 
-// Play measures all sizes for which the machine has enough memory and file descriptors. If it returns an error, the
+// Run measures all sizes for which the machine has enough memory and file descriptors. If it returns an error, the
 // result has the steps completed before.
 func Run(ctx context.Context, plan Plan) (scalereport.Result, error) {
 	result := scalereport.Result{Machine: machineName(runtime.NumCPU()), Target: plan.Target, FarLink: plan.farText()}
--- a/internal/testkit/scalerun/plan_test.go
+++ b/internal/testkit/scalerun/plan_test.go
@@ -42,7 +42,7 @@
 	testLimit   = 40 * time.Second
 )
 
-// TestPlay_shortRun runs all phases of the measurement with a few nodes.
+// TestRun_shortRun runs all phases of the measurement with a few nodes.
 func TestRun_shortRun(t *testing.T) {
 	sizes := []scalereport.Size{{Nodes: 4, Workers: 6}, {Nodes: 8, Workers: 9}}
 	var progress strings.Builder
@@ -50,13 +50,13 @@
 		Servers: 3, Edges: 1, Routes: 20, Window: testWindow, Windows: 2, Changes: testChanges, FarEvery: 3,
 		Far: localfleet.Link{Delay: 20 * time.Millisecond}, Heartbeat: 100 * time.Millisecond, Limit: testLimit, Progress: &progress})
 	if err != nil || len(result.Steps) != len(sizes) {
-		t.Fatalf("Play: got %d steps, want %d; error %v\n%s", len(result.Steps), len(sizes), err, progress.String())
+		t.Fatalf("Run: got %d steps, want %d; error %v\n%s", len(result.Steps), len(sizes), err, progress.String())
 	}
 	for _, step := range result.Steps {
 		checkStep(t, step)
 	}
 	if len(result.Trends) == 0 {
-		t.Error("Play: got no trends")
+		t.Error("Run: got no trends")
 	}
 }
 
@@ -94,12 +94,12 @@
 	}
 }
 
-// TestPlayTraffic_short measures a proxy at two low rates.
+// TestRunTraffic_short measures a proxy at two low rates.
 func TestRunTraffic_short(t *testing.T) {
 	steps, err := RunTraffic(t.Context(), TrafficPlan{Binary: binary, Directory: t.TempDir(), Rates: []scalereport.Rate{{Requests: 20, Tokens: 5}, {Requests: 40, Tokens: 5}},
 		Workers: 3, TokenTime: 2 * time.Millisecond, Window: testWindow, Windows: 2, Limit: testLimit, Progress: io.Discard})
 	if err != nil || len(steps) != 2 {
-		t.Fatalf("PlayTraffic: got %d steps, want 2; error %v", len(steps), err)
+		t.Fatalf("RunTraffic: got %d steps, want 2; error %v", len(steps), err)
 	}
 	for _, step := range steps {
 		if step.Served <= 0 || step.Events <= 0 || step.Failed > 0 || step.First.Count == 0 || len(step.Windows) != 2 {
@@ -111,7 +111,7 @@
 func TestRun_sizesBeyondTheMachine(t *testing.T) {
 	result, err := Run(t.Context(), Plan{Sizes: []scalereport.Size{{Nodes: 1 << 24, Workers: 1}}, Servers: 3, Progress: io.Discard})
 	if err != nil || len(result.Steps) != 0 || len(result.Skipped) != 1 || result.Skipped[0].Reason == "" {
-		t.Errorf("Play of a size beyond the machine: got %+v, %v, want no step and one skipped size with a reason", result, err)
+		t.Errorf("Run of a size beyond the machine: got %+v, %v, want no step and one skipped size with a reason", result, err)
 	}
 }
 
@@ -121,7 +121,7 @@
 	_, err := Run(ctx, Plan{Binary: binary, Directory: t.TempDir(), Sizes: []scalereport.Size{{Nodes: 2, Workers: 1}}, Servers: 3,
 		Edges: 1, Routes: 1, Windows: 1, Limit: testLimit, Progress: io.Discard})
 	if err == nil {
-		t.Error("Play with a cancelled context: got no error")
+		t.Error("Run with a cancelled context: got no error")
 	}
 }
 
--- a/internal/testkit/scalerun/traffic.go
+++ b/internal/testkit/scalerun/traffic.go
@@ -51,7 +51,7 @@
 	requests     sync.WaitGroup
 }
 
-// PlayTraffic measures one proxy at each rate. If it returns an error, the result has the rates measured so far.
+// RunTraffic measures one proxy at each rate. If it returns an error, the result has the rates measured so far.
 func RunTraffic(ctx context.Context, plan TrafficPlan) ([]scalereport.TrafficStep, error) {
 	ctx, cancel := context.WithTimeout(ctx, plan.Limit)
 	defer cancel()
