--- a/coord/seglog/exhaustive_test.go
+++ b/coord/seglog/exhaustive_test.go
@@ -168,7 +168,9 @@
 	}
 }
 
-// failEachOperation runs the calls, followed by an append and a vote, once for each disk operation, which fails.
+// failEachOperation runs the calls, followed by an append and a vote, once per disk operation. In each run that disk
+// operation fails; a failed call is retried once and must then succeed. After each call, every outcome of a power loss must
+// be recovered.
 func failEachOperation(calls string, omit ...seglog.Guard) error {
 	for position := int64(1); ; position++ {
 		disk := seglogtest.NewMemoryDisk()
--- a/internal/controlplane/feedtransport/candidates.go
+++ b/internal/controlplane/feedtransport/candidates.go
@@ -23,7 +23,7 @@
 	distance distance
 	rank     uint64 // rendezvous hash of the node with the address; the highest is preferred
 
-	failures    int // failed attempts and lost connections since it was last current
+	failures    int // consecutive failed attempts and lost connections; reset when the server's status is current (Status.Current)
 	avoidUntil  time.Time
 	attemptedAt time.Time
 }
--- a/internal/dataplane/upstream/roundtrip.go
+++ b/internal/dataplane/upstream/roundtrip.go
@@ -38,7 +38,7 @@
 	conn             *conn
 	request          *Request
 	ctx              context.Context
-	stopContextWatch func() bool // stops closing the connection at the end of ctx; returns false if ctx has ended
+	stopContextWatch func() bool // cancels the AfterFunc that closes the connection when ctx ends; false if it has started or was canceled before
 	write            requestWrite
 	notReusable      bool         // the connection must be closed after the response
 	head             http1.Head   // head of the response; its header fields are in header
--- a/internal/node/batch/jobs/run.go
+++ b/internal/node/batch/jobs/run.go
@@ -51,7 +51,7 @@
 }
 
 // BeforeSend implements routing.Gate. A job's first step is sent only after the store has recorded
-// the job as sent, so that after a crash any other job certainly never ran.
+// the job as sent, so that after a crash, a job that is not recorded as sent is known never to have run.
 func (m *Manager) BeforeSend(handle slottable.Handle, open func(bool)) {
 	job := m.byOperation[handle]
 	switch {
--- a/internal/node/protocol/client_connection.go
+++ b/internal/node/protocol/client_connection.go
@@ -34,7 +34,8 @@
 	}
 }
 
-// requestTimedOut closes a connection whose request is incomplete at its time limit.
+// requestTimedOut closes a connection whose request is not complete in time, after a 408 response if part of it was received.
+// Bytes that are still unread are read first.
 func (client *clientConn) requestTimedOut() {
 	client.requestTimer = nil
 	if !client.conn.NothingUnread() {
--- a/internal/node/protocol/discovery.go
+++ b/internal/node/protocol/discovery.go
@@ -110,7 +110,7 @@
 // ListedCount returns the number of destinations in the list.
 func (d *Discovery) ListedCount() int { return len(d.listed) }
 
-// Find returns the ID of a destination that any list since the start has named.
+// Find returns the ID of the named destination, and whether any list since the start contained it.
 func (d *Discovery) Find(name string) (balance.WorkerID, bool) {
 	id := workerIDOf(name)
 	return id, d.names[id] == name
--- a/internal/testkit/controlplanesim/simulation.go
+++ b/internal/testkit/controlplanesim/simulation.go
@@ -23,7 +23,7 @@
 	peerPort         = 7000
 	controlPort      = 8000
 	startSpread      = 300 * time.Millisecond // within which all machines start
-	listingLag       = time.Second            // by which the server list of the callers lags behind
+	listingLag       = time.Second            // delay after which callers see a change of the server list
 	terminationGrace = 8 * time.Second        // between SIGTERM and SIGKILL
 	sampleInterval   = 250 * time.Millisecond
 	recoveryTime     = 8 * time.Second // after the last event
