--- a/coord/consensus/rules_test.go
+++ b/coord/consensus/rules_test.go
@@ -275,7 +275,7 @@
 	for rule, scenario := range ruleScenarios {
 		t.Run(string(rule), func(t *testing.T) {
 			if scenario(t) {
-				t.Errorf("violation although rule %s is enforced", rule)
+				t.Errorf("scenario of rule %s with all rules enforced: got a violation, want none", rule)
 			}
 			if !scenario(t, rule) {
 				t.Errorf("no violation with rule %s omitted, want one", rule)
--- a/internal/controlplane/server/deregister_test.go
+++ b/internal/controlplane/server/deregister_test.go
@@ -87,8 +87,11 @@
 		request := APIRequest{Call: APIHeartbeat, ID: testInstanceID, Body: []byte(heartbeatJSON("ready", sequence))}
 		return s.Handle(timeoutContext(t), request).Status
 	}
-	if sendHeartbeat(1) != http.StatusOK || deregisterInstance(t, s) != http.StatusOK {
-		t.Fatal("registering or deregistering the instance failed")
+	if status := sendHeartbeat(1); status != http.StatusOK {
+		t.Fatalf("heartbeat 1, which registers the instance: status %d, want 200", status)
+	}
+	if status := deregisterInstance(t, s); status != http.StatusOK {
+		t.Fatalf("deregister of the registered instance: status %d, want 200", status)
 	}
 	failing[shard] = true // a proposal would fail the heartbeat
 	for sequence := 2; sequence < 10; sequence++ {
--- a/internal/dataplane/selection/load_test.go
+++ b/internal/dataplane/selection/load_test.go
@@ -55,7 +55,7 @@
 	svc.recordLoad(0, w, &Load{Running: -1}, callCounts{})
 	svc.recordLoad(0, w, nil, callCounts{})
 	if w.report.known {
-		t.Errorf("report is %+v after a negative load and no load, want neither recorded", w.report)
+		t.Errorf("report after a negative and a missing load: %+v, want neither recorded", w.report)
 	}
 	svc.recordLoad(0, w, &Load{}, callCounts{3, 5})
 	if w.report.running != 0 || w.report.waiting != 0 {
--- a/internal/node/zones/simulation/failures_test.go
+++ b/internal/node/zones/simulation/failures_test.go
@@ -1,6 +1,7 @@
 package simulation
 
 import (
+	"fmt"
 	"testing"
 	"time"
 )
@@ -29,7 +30,7 @@
 		case r.Evacuations == 0:
 			return "the zone was never evacuated"
 		case r.EvacuatedAfter > within:
-			return "the zone was evacuated too late"
+			return fmt.Sprintf("the zone was evacuated %v after the first fault, want at most %v", r.EvacuatedAfter, within)
 		case r.EvacuationSpread == 0 || r.EvacuationSpread > spreadLimit:
 			return "not all processes had the new table in time"
 		case r.Overloads > 0:
--- a/internal/testkit/controlplanesim/campaign/campaign_test.go
+++ b/internal/testkit/controlplanesim/campaign/campaign_test.go
@@ -151,7 +151,7 @@
 	drawn := schedule.Draw(seedFails, shape)
 	part, err := campaign.PlaySchedule(context.Background(), player(t), drawn.Format())
 	if err != nil || part.Played != 1 || len(part.Failures) != 1 {
-		t.Fatalf("played %d, %d failures, error %v; want 1, 1, no error", part.Played, len(part.Failures), err)
+		t.Fatalf("played %d schedules with %d failures, error %v; want 1 schedule with 1 failure and no error", part.Played, len(part.Failures), err)
 	}
 	if _, err := campaign.PlaySchedule(context.Background(), player(t), "no schedule"); !errors.Is(err, schedule.ErrSyntax) {
 		t.Errorf("play invalid schedule text: got error %v, want %v", err, schedule.ErrSyntax)
