--- a/balance/estimate.go
+++ b/balance/estimate.go
@@ -13,7 +13,7 @@
 	slowdownPriorSamples = 2.0  // samples of a worker that weigh as much as the slowdown of its kind
 	pooledSamples        = 256. // bound on the weight of a pooled estimate, which thus forgets old samples
 	outlierRatio         = 4.   // samples that differ from the usual value by more than this factor are limited
-	minRunTime           = 1e-4 // seconds; lower bound, above 0, of recorded run times and of a divisor
+	minRunTime           = 1e-4 // seconds; shorter run times are below the resolution of the clock
 	hintPriorSamples     = 10.  // weight, in samples, of the assumption that cost hints are exact
 	defaultRunTime       = 0.1  // seconds, assumed before any job has run
 	waitPriorSamples     = 16.  // weight, in samples, of the assumed queue wait
